--- a/libs/membership/src/membership/greetings.py
+++ b/libs/membership/src/membership/greetings.py
@@ -6,13 +6,13 @@
 
 import math
 
-from transport.messages import Greet, GroupCard
+from transport.messages import Gossip, GroupInfo
 
 from membership import summaries
 
 __all__ = ["LONGEST_SILENCE", "NO_GROUP", "SILENCE_STEPS", "greeting"]
 
-NO_GROUP = GroupCard("", 0, 0, "", ())
+NO_GROUP = GroupInfo("", 0, 0, "", ())
 # Steps of silence in the time after which a node counts as lost, and the most of them.
 SILENCE_STEPS = 64
 LONGEST_SILENCE = 255
@@ -34,7 +34,7 @@
     alike = their_names == named
     names = made.names if alike else list(peers.cards)
     known = () if theirs == told else _fresh(peers, now_ms, answer) if alike else names
-    return Greet(
+    return Gossip(
         peers.card,
         answer,
         tuple(peers.cards[n] for n in known),
--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -12,8 +12,8 @@
 import random
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
-from transport.messages import Card, GroupCard
+from transport.effects import LogLine, Send
+from transport.messages import GroupInfo, NodeInfo
 
 from membership import greetings, summaries
 from membership.greetings import LONGEST_SILENCE, NO_GROUP, SILENCE_STEPS
@@ -38,7 +38,7 @@
 
 @dataclass
 class PeerTable:
-    card: Card
+    card: NodeInfo
     seeds: tuple
     random: random.Random
     gossip_ms: float
@@ -46,12 +46,12 @@
     cards: dict = field(default_factory=dict)
     heard_ms: dict = field(default_factory=dict)
     alive_ms: dict = field(default_factory=dict)
-    group: GroupCard = NO_GROUP
+    group: GroupInfo = NO_GROUP
     next_ms: float = 0.0
     turn: int = 0
     digests: dict = field(default_factory=dict)
     group_digests: dict = field(default_factory=dict)
-    turn_group: GroupCard = NO_GROUP
+    turn_group: GroupInfo = NO_GROUP
     group_turn: int = 0
     met_ms: dict = field(default_factory=dict)
     learned_ms: dict = field(default_factory=dict)
@@ -161,7 +161,7 @@
         return []
     peers.cards[card.name], peers.met_ms[card.name] = card, met_ms
     peers.learned_ms[card.name] = now_ms
-    return [Note("meets", {"name": card.name, "address": card.address})] if old is None else []
+    return [LogLine("meets", {"name": card.name, "address": card.address})] if old is None else []
 
 
 def announce(peers, now_ms):
--- a/libs/membership/src/membership/summaries.py
+++ b/libs/membership/src/membership/summaries.py
@@ -9,7 +9,7 @@
 import zlib
 from dataclasses import dataclass
 
-from transport.messages import Card
+from transport.messages import NodeInfo
 
 __all__ = ["Summary", "group_digest", "made", "of", "weight", "WATCHED"]
 
@@ -22,7 +22,7 @@
     """`digest` is of all cards, the node's own included, `names_digest` of their
     names; `names` are in order; `watched` are the peers whom the node minds."""
 
-    card: Card
+    card: NodeInfo
     cards: dict
     digest: int
     names_digest: int
--- a/libs/placement/src/placement/again.py
+++ b/libs/placement/src/placement/again.py
@@ -6,7 +6,7 @@
 has ended here, so both name the count of orders that the engine is to have taken.
 """
 
-from transport.effects import Call, Wake
+from transport.effects import EngineCall, Wake
 
 from placement import engine_view, line, order_notes, world
 from placement import ledger as ledgers
@@ -36,7 +36,7 @@
     """A call to an engine, remembered until it ends."""
     expected = body.get("expected")
     p.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
-    return Call(
+    return EngineCall(
         f"{p.shard}|{p.epoch}|{id_}",
         engine["name"],
         engine["url"],
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -5,7 +5,7 @@
 and handed to the shell as `Note` effects by `drain`.
 """
 
-from transport.effects import Note
+from transport.effects import LogLine
 
 from placement import engine_view
 from placement import ledger as ledgers
@@ -22,7 +22,9 @@
 
 
 def _add(placer, what, facts):
-    placer.notes.append(Note(what, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True))
+    placer.notes.append(
+        LogLine(what, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True)
+    )
 
 
 def ordered(placer, engine, item, verb, order):
--- a/libs/placement/src/placement/roster.py
+++ b/libs/placement/src/placement/roster.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.effects import Call
+from transport.effects import EngineCall
 
 __all__ = ["Roster", "tick", "on_called"]
 
@@ -40,7 +40,9 @@
 
 
 def _ask(r, terms, address, id_):
-    return Call(f"{id_}|list:{r.round}", "", address, "list", {"token": r.token}, terms.call_ms)
+    return EngineCall(
+        f"{id_}|list:{r.round}", "", address, "list", {"token": r.token}, terms.call_ms
+    )
 
 
 def on_called(r, now_ms, id_, called, registry, terms, address, prefix):
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -13,7 +13,7 @@
 from routing import router, tasks
 from transport import failures
 from transport.effects import Reply, Send
-from transport.messages import Command, CommandAnswer
+from transport.messages import ShardCommand, ShardCommandReply
 
 __all__ = [
     "Answered",
@@ -118,7 +118,7 @@
     if pending.verb == "written" and now_ms < pending.final_ms:
         told = {**told, "may_wait": True}
     body = json.dumps(told).encode()
-    return [Send(to, Command(id_, pending.shard, node.card.address, pending.verb, body))]
+    return [Send(to, ShardCommand(id_, pending.shard, node.card.address, pending.verb, body))]
 
 
 def holder_address(node, shard):
@@ -226,4 +226,4 @@
     outcome, status = effect.outcome, 200
     if isinstance(outcome, failures.Failure):
         outcome, status = failures.as_json(outcome), outcome.status
-    return Send(address, CommandAnswer(id_, status, json.dumps(outcome).encode()))
+    return Send(address, ShardCommandReply(id_, status, json.dumps(outcome).encode()))
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -12,7 +12,7 @@
 from routing import answers
 from routing.relaying import Relaying
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.serving import WSGIRequestHandler, make_server
 from werkzeug.wrappers import Request, Response
 
@@ -73,7 +73,7 @@
         sent to an engine for a caller that has left by now, as many have when this node
         wakes from a freeze: it may have sent its request again under another id."""
         handler = Handler(caller, caller.address, self._front)
-        if not handler.whole or hung_up(caller.sock):
+        if not handler.whole or closed_by_peer(caller.sock):
             return None
         request = Request(handler.told)
         told = self._dialect.read_caller(request, handler.target)
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -37,9 +37,9 @@
     m.BootstrapReply,
     m.LeaveRequest,
     m.LeaveReply,
-    m.Append,
-    m.RecoverAsk,
-    m.Release,
+    m.ShardAppend,
+    m.RecoveryRequest,
+    m.LeaseRelease,
     m.FeedChunkReply,
     m.ShardChunkReply,
 )
@@ -47,7 +47,7 @@
 
 @dataclass
 class Node:
-    card: m.Card
+    card: m.NodeInfo
     config: configs.Config
     peers: peer_table.PeerTable
     follow: follows.Follow
@@ -71,7 +71,7 @@
     platform's shapes, if it has its own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
-    card = m.Card(
+    card = m.NodeInfo(
         config.name,
         config.role,
         config.zone,
@@ -112,17 +112,17 @@
 def handle(node, now_ms, event):
     if isinstance(event, e.Received):
         effects = _receive(node, now_ms, event.sender, event.message)
-    elif isinstance(event, e.Asked):
+    elif isinstance(event, e.LocalRequest):
         effects = operator_requests.asked(node, now_ms, event)
-    elif isinstance(event, e.Called):
+    elif isinstance(event, e.CallEnded):
         effects = shard_ownership.on_called(node.owners, now_ms, event, node.floor, node.terms)
-    elif isinstance(event, e.Closing):
+    elif isinstance(event, e.Shutdown):
         effects = _close(node, now_ms)
     elif isinstance(event, e.Tick):
         effects = _tick(node, now_ms)
     else:
         effects = []
-    if node.depot is not None and not isinstance(event, (e.Asked, e.Called)):
+    if node.depot is not None and not isinstance(event, (e.LocalRequest, e.CallEnded)):
         effects += _depot(node, now_ms, event)
     if node.closing:
         effects = _before_the_end(node, now_ms, effects)
@@ -131,13 +131,15 @@
 
 
 def _depot(node, now_ms, event):
-    if isinstance(event, e.Received) and not isinstance(event.message, _DEPOT_TALK + (m.Ask,)):
+    if isinstance(event, e.Received) and not isinstance(
+        event.message, _DEPOT_TALK + (m.FeedRequest,)
+    ):
         return []
     served = node.depot.writer.serving
     effects = depots.handle(node.depot, now_ms, event, node.peers.cards, node.peers.group.group)
     group = node.depot.group
     if node.card.empty and group.group:
-        node.card = m.Card(**{**vars(node.card), "empty": False})
+        node.card = m.NodeInfo(**{**vars(node.card), "empty": False})
         node.peers.card = node.depot.card = node.card
     peer_table.learn_group(node.peers, depots.group_card(group), node.card.address)
     if node.depot.writer.serving and not served:
@@ -213,16 +215,16 @@
 
 
 def _receive(node, now_ms, sender, message):
-    if isinstance(message, m.Greet):
+    if isinstance(message, m.Gossip):
         before = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
         if node.peers.group != before:
             node.learned_ms = now_ms
         return effects
-    if isinstance(message, m.Mark):
+    if isinstance(message, m.FreshnessMark):
         follows.on_mark(node.follow, message)
         return follows.relay(node.follow, now_ms) + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedItems):
+    if isinstance(message, m.FeedEntries):
         effects = _news(node, now_ms, follows.on_items(node.follow, message))
         effects += follows.relay(node.follow, now_ms)
         return effects + operator_requests.current(node, now_ms)
@@ -232,25 +234,25 @@
         return effects + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedChunkReply):
         return follows.on_chunk_reply(node.follow, now_ms, sender, message)
-    if isinstance(message, m.Ask):
+    if isinstance(message, m.FeedRequest):
         if node.depot is None:
             return follows.on_relay_ask(node.follow, now_ms, sender, message)
         return []
-    if isinstance(message, m.Durable):
+    if isinstance(message, m.DurablePositions):
         return shard_ownership.on_durable(
             node.owners, now_ms, message, node.follow, node.floor, node.times, node.terms
         )
-    if isinstance(message, m.Refused):
+    if isinstance(message, m.AppendRefused):
         return shard_ownership.on_refused(node.owners, message)
     if isinstance(message, m.ShardChunk):
         return shard_ownership.on_chunk(node.owners, now_ms, sender, message, node.terms)
-    if isinstance(message, m.QuotaAsk):
+    if isinstance(message, m.QuotaRequest):
         return quota_requests.on_ask(node, now_ms, sender, message)
-    if isinstance(message, m.QuotaGrant):
+    if isinstance(message, m.QuotaReply):
         return quota_requests.on_grant(node, now_ms, sender, message, operator_requests.crew)
-    if isinstance(message, m.Command):
+    if isinstance(message, m.ShardCommand):
         return operator_requests.on_command(node, now_ms, message)
-    if isinstance(message, m.CommandAnswer):
+    if isinstance(message, m.ShardCommandReply):
         return command_forwarding.on_answer(node, now_ms, message)
     return []
 
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -13,7 +13,7 @@
 from routing import engine_outcomes, router, routes, tenants
 from transport import failures
 from transport.effects import Reply, Send
-from transport.messages import Command
+from transport.messages import ShardCommand
 
 from pulleyhitch import quota_requests
 
@@ -121,7 +121,7 @@
     for name, outcome in engine_outcomes.take_untold(node.router, now_ms, engines).items():
         _for_shard(node, by, engines[name]["service"])["outcomes"][name] = outcome
     return [
-        Send(to, Command("", shard, "", "wanted", json.dumps(told).encode()))
+        Send(to, ShardCommand("", shard, "", "wanted", json.dumps(told).encode()))
         for shard, told in by.items()
         if (to := holder_address(node, shard))
     ]
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -19,9 +19,20 @@
 from transport import events as e
 from transport import failures
 from transport.connections import Connections
-from transport.effects import Call, Dump, Finished, Install, Note, Reply, Save, Send, Wake, Write
-from transport.log_ring import Ring
-from transport.messages import Greet
+from transport.effects import (
+    DumpLog,
+    EngineCall,
+    Finished,
+    Install,
+    LogLine,
+    Reply,
+    Save,
+    Send,
+    Wake,
+    Write,
+)
+from transport.log_ring import LogRing
+from transport.messages import Gossip
 
 from pulleyhitch import config as configs
 from pulleyhitch import node as nodes
@@ -50,7 +61,7 @@
         self.config = config
         self.dialect = dialect
         self.pool = Pool()
-        self.ring = Ring(config.name)
+        self.ring = LogRing(config.name)
         self._queue = queue.SimpleQueue()
         self._waiting = {}
         self._lock = threading.Lock()
@@ -65,7 +76,7 @@
         try:
             self._pipes = Connections(
                 config.listen,
-                lambda: Greet(self._node.card, False, (), self._node.peers.group),
+                lambda: Gossip(self._node.card, False, (), self._node.peers.group),
                 lambda sender, message: self._queue.put(e.Received(sender, message)),
                 self._note,
                 configs.times(config).elect_ms,
@@ -108,7 +119,7 @@
 
         Whoever waits for an answer that is there by then gets it.
         """
-        self._queue.put(e.Closing())
+        self._queue.put(e.Shutdown())
         if self._node.depot is not None:
             wait_s = configs.times(self.config).leave_ms / 1000 + _LAST_WORDS_S
         else:
@@ -126,12 +137,12 @@
         future = Future()
         with self._lock:
             self._waiting[token] = future
-        self._queue.put(e.Asked(token, verb, body))
+        self._queue.put(e.LocalRequest(token, verb, body))
         return future
 
     def tell(self, token, verb, body):
         """An event whose answer goes to whoever waits on the token already."""
-        self._queue.put(e.Asked(token, verb, body))
+        self._queue.put(e.LocalRequest(token, verb, body))
 
     def ask(self, token, verb, body, wait_s=600.0):
         future = self.post(token, verb, body)
@@ -206,15 +217,15 @@
                 future = self._waiting.pop(effect.token, None)
             if future is not None:
                 future.set_result(effect.outcome)
-        elif isinstance(effect, Call):
+        elif isinstance(effect, EngineCall):
             self._calls.submit(self._call, effect)
         elif isinstance(effect, Wake):
             self._wake_ms = min(self._wake_ms, effect.at_ms)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             self.ring.note(effect.what, effect.facts, urgent=effect.urgent)
         elif isinstance(effect, Finished):
             self._finished.set()
-        elif isinstance(effect, Dump):
+        elif isinstance(effect, DumpLog):
             self.ring.note("dump", {}, why=effect.why)
 
     def _write(self, effect):
@@ -243,7 +254,7 @@
             ended = passing.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
             body = self.dialect.read_call(effect.verb, told, ended.code, ended.data)
         kept = ended.head is not None and ended.head.kept
-        self._queue.put(e.Called(effect.id, ended.code, body or {}, ended.begun, kept))
+        self._queue.put(e.CallEnded(effect.id, ended.code, body or {}, ended.begun, kept))
 
 
 def _now():
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -14,8 +14,8 @@
 from replication import follower as follows
 from routing import router, waiting_line
 from transport import failures
-from transport.effects import Note, Send
-from transport.messages import QuotaGrant
+from transport.effects import LogLine, Send
+from transport.messages import QuotaReply
 
 from pulleyhitch import config as configs
 
@@ -120,7 +120,7 @@
 def on_ask(node, now_ms, sender, message):
     """Another node, or this one, asks for tokens."""
     if node.depot is None:
-        return [Send(sender, QuotaGrant(message.number, False, ()))]
+        return [Send(sender, QuotaReply(message.number, False, ()))]
     _observe(node, now_ms)
     share = standings.share(node.quotas.standing, now_ms, follows.age(node.follow, now_ms))
     share = None if node.closing else share
@@ -163,7 +163,7 @@
     quotas = node.quotas
     if not quotas.untold or now_ms - quotas.told_ms < _NOTE_MS:
         return []
-    note = Note("quota-refusals", {"tenants": quotas.untold})
+    note = LogLine("quota-refusals", {"tenants": quotas.untold})
     quotas.untold, quotas.told_ms = {}, now_ms
     return [note]
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -14,8 +14,8 @@
 from placement.state import Placer
 from replication import shard_log, state_machine
 from transport import failures
-from transport.effects import Dump, Note, Reply, Send
-from transport.messages import Release
+from transport.effects import DumpLog, LogLine, Reply, Send
+from transport.messages import LeaseRelease
 
 __all__ = [
     "ShardOwnership",
@@ -77,10 +77,10 @@
                 if shard == 0
                 else Placer(shard, part.epoch, held, own=part.before == card.name)
             )
-            effects.append(Note("holds", {"shard": shard, "epoch": part.epoch}, True))
+            effects.append(LogLine("holds", {"shard": shard, "epoch": part.epoch}, True))
         elif kept and not mine and part.epoch > kept.epoch:
             del ownership.owners[shard]
-            effects.append(Note("held", {"shard": shard, "epoch": kept.epoch}, True))
+            effects.append(LogLine("held", {"shard": shard, "epoch": kept.epoch}, True))
     return effects
 
 
@@ -140,7 +140,7 @@
         placer.taken_over(kept, now_ms, terms)
     kept.held.checkpoint, kept.held.records = b"", []
     facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
-    return effects + [Note("recovered", facts, True)]
+    return effects + [LogLine("recovered", facts, True)]
 
 
 def on_durable(ownership, now_ms, message, follow, floor, times, terms):
@@ -194,7 +194,7 @@
             registries.apply(kept.registry, record)
             shard_log.append(kept.held, record)
         elif failure is not None:
-            effects.append(Note("list-wrong", failures.as_json(failure)))
+            effects.append(LogLine("list-wrong", failures.as_json(failure)))
     return effects
 
 
@@ -227,7 +227,11 @@
     """A defect of ours met an order that it can't judge.  Nothing has changed, and stopping
     would only hand the same order to the next holder, and end that one too."""
     failure = failures.CoreBroke(verb, repr(failed))
-    return [Reply(token, failure), Note("not-judged", failures.as_json(failure)), Dump(failure.tag)]
+    return [
+        Reply(token, failure),
+        LogLine("not-judged", failures.as_json(failure)),
+        DumpLog(failure.tag),
+    ]
 
 
 def release_all(ownership, card, leader, successors):
@@ -238,7 +242,7 @@
         kept.held.released = True
         successor = successors[shard % len(successors)] if successors else ""
         if leader:
-            effects.append(Send(leader, Release(card.name, shard, kept.epoch, successor)))
+            effects.append(Send(leader, LeaseRelease(card.name, shard, kept.epoch, successor)))
     return effects
 
 
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.quota_messages import QuotaGiven, QuotaGrant
+from transport.quota_messages import QuotaReply, TokenGrant
 
 from quotas import bucket as buckets
 from quotas import standing
@@ -48,12 +48,12 @@
 
 
 def on_ask(state, now_ms, ask, share):
-    """The QuotaGrant for a QuotaAsk; `share` is this depot's part, None if it may not grant."""
+    """The QuotaReply to a QuotaRequest; `share` is this depot's part, None if it may not grant."""
     if share is None:
-        return QuotaGrant(ask.number, False, ())
+        return QuotaReply(ask.number, False, ())
     if share != state.share:
         _reshare(state, now_ms, share)
-    return QuotaGrant(ask.number, True, tuple(_give(state, now_ms, w, share) for w in ask.wants))
+    return QuotaReply(ask.number, True, tuple(_give(state, now_ms, w, share) for w in ask.wants))
 
 
 def _reshare(state, now_ms, share):
@@ -69,7 +69,7 @@
 def _give(state, now_ms, want, share):
     held = _held(state, now_ms, want, share)
     if held is None:
-        return QuotaGiven(0, 0.0, _LONGEST_QUEUE_MS)
+        return TokenGrant(0, 0.0, _LONGEST_QUEUE_MS)
     needed = min(max(0, want.needed), buckets.whole(held.bucket))
     held.bucket = buckets.draw(held.bucket, needed)
     spare = held.bucket.tokens - _KEPT_FOR_WAITING * held.bucket.capacity
@@ -80,7 +80,7 @@
     if needed < want.needed:
         held.short += want.needed - needed
         wait_ms = _queue(held, now_ms, want.needed - needed)
-    return QuotaGiven(given, held.bucket.tokens, wait_ms)
+    return TokenGrant(given, held.bucket.tokens, wait_ms)
 
 
 def _queue(held, now_ms, count):
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from transport.quota_messages import QuotaAsk, QuotaWant
+from transport.quota_messages import QuotaRequest, TokenDemand
 
 from quotas import demand as demands
 from quotas import depot_choice
@@ -194,12 +194,12 @@
 
 def _probes(state, now_ms):
     due = depot_choice.probes_due(state.depots, now_ms)
-    return [Asking(to, QuotaAsk(_next(state), ())) for to in due]
+    return [Asking(to, QuotaRequest(_next(state), ())) for to in due]
 
 
 def _asks(state, now_ms):
     """One ask for each depot that is asked for anything now."""
-    wants: dict[str, list[QuotaWant]] = {}
+    wants: dict[str, list[TokenDemand]] = {}
     for name in sorted(state.lined):
         tenant = state.tenants[name]
         needed = len(tenant.line) - tenant.asked
@@ -224,13 +224,13 @@
     limit = tenant.limit
     coming = demands.expected(tenant.demand, now_ms, quota_terms.lease_ms(state.terms))
     ahead = int(coming) if coming >= _DENSE else 0
-    return QuotaWant(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
+    return TokenDemand(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
 
 
 def _send(state, now_ms, to, wants):
     number = _next(state)
     state.sent[number] = SentAsk(to, now_ms, wants)
-    return Asking(to, QuotaAsk(number, wants))
+    return Asking(to, QuotaRequest(number, wants))
 
 
 def _next(state):
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from transport.quota_messages import QuotaAsk
+from transport.quota_messages import QuotaRequest
 
 from quotas import demand as demands
 from quotas import depot_choice
@@ -43,7 +43,7 @@
     """An ask to be sent to a depot."""
 
     to: str
-    ask: QuotaAsk
+    ask: QuotaRequest
 
 
 @dataclass
--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -11,7 +11,7 @@
 
 from transport.codec import to_bytes
 from transport.effects import Send
-from transport.messages import Batch, Durable, Refused, ShardPlace
+from transport.messages import AppendRefused, Batch, DurablePositions, ShardPosition
 
 from replication import log_replication, state_machine
 from replication.group import last_index
@@ -82,7 +82,12 @@
         known = expected - section.first
         if known >= len(section.records):
             place = replica.state.shards[section.shard].next - 1
-            return [Send(sender, Durable(replica.term, (ShardPlace(section.shard, epoch, place),)))]
+            return [
+                Send(
+                    sender,
+                    DurablePositions(replica.term, (ShardPosition(section.shard, epoch, place),)),
+                )
+            ]
         section = type(section)(
             section.shard, epoch, section.kind, expected, section.records[known:]
         )
@@ -93,7 +98,7 @@
 
 
 def _refused(replica, section, cause, expected):
-    return Refused(section.shard, section.epoch, cause, expected, replica.term)
+    return AppendRefused(section.shard, section.epoch, cause, expected, replica.term)
 
 
 def _learn_turn(writer, now_ms, shard):
@@ -126,7 +131,7 @@
     places = {}
     for s in taken:
         if s.kind == state_machine.RECORDS:
-            places[s.shard] = ShardPlace(s.shard, s.epoch, s.first + len(s.records) - 1)
+            places[s.shard] = ShardPosition(s.shard, s.epoch, s.first + len(s.records) - 1)
             writer.records += len(s.records)
     writer.batches += 1
     writer.last_shards = frozenset(places)
@@ -163,6 +168,6 @@
                 told.setdefault(writer.connections[place.shard], {})[place.shard] = place
                 writer.told_ms[place.shard] = now_ms
     return [
-        Send(connection, Durable(replica.term, tuple(places.values())))
+        Send(connection, DurablePositions(replica.term, tuple(places.values())))
         for connection, places in told.items()
     ]
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -8,7 +8,7 @@
 import hashlib
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
+from transport.effects import LogLine, Send
 from transport.messages import BootstrapReply, BootstrapRequest, Member
 
 from replication.group import last_index, save_promise
@@ -84,7 +84,7 @@
 def _adopt(replica, now_ms, group, founders):
     replica.group, replica.founders = group, founders
     replica.elect_at_ms = now_ms + replica.times.elect_ms * replica.random.random()
-    return [save_promise(replica), Note("founds", {"group": group})]
+    return [save_promise(replica), LogLine("founds", {"group": group})]
 
 
 def on_agree(replica, bootstrap, now_ms, answer):
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from transport import messages as m
-from transport.effects import Note, Send, Wake
-from transport.events import Closing, Received, Tick, Written
+from transport.effects import LogLine, Send, Wake
+from transport.events import Received, Shutdown, Tick, Written
 
 from replication import (
     batch_writer,
@@ -35,7 +35,7 @@
 class Depot:
     group: Replica
     shards: int
-    card: m.Card
+    card: m.NodeInfo
     writer: batch_writer.BatchWriter = field(default_factory=batch_writer.BatchWriter)
     nodes: leases.NodeTable = field(default_factory=leases.NodeTable)
     asks: feed.Asks = field(default_factory=feed.Asks)
@@ -53,7 +53,7 @@
         if replica.role == "leader":
             depot.writer.last_write_ms = event.took_ms
         effects = log_replication.on_written(replica, now_ms, event.index, event.term)
-    elif isinstance(event, Closing):
+    elif isinstance(event, Shutdown):
         depot.leave = depot.leave or leaving.begin(replica, now_ms)
         effects = []
     elif isinstance(event, Received):
@@ -120,19 +120,19 @@
         return feed_snapshots.on_chunk_reply(replica, nodes, message)
     if isinstance(message, m.ShardChunkReply):
         return leases.on_chunk_reply(writer, sender, message)
-    if not isinstance(message, (m.Ask, m.Append, m.RecoverAsk, m.Release)):
+    if not isinstance(message, (m.FeedRequest, m.ShardAppend, m.RecoveryRequest, m.LeaseRelease)):
         return []
     if not writer.serving:
-        return [Send(sender, m.Greet(depot.card, False, (), group_card(replica)))]
-    if isinstance(message, m.Ask):
+        return [Send(sender, m.Gossip(depot.card, False, (), group_card(replica)))]
+    if isinstance(message, m.FeedRequest):
         leases.heard(nodes, now_ms, message)
         return feed.on_ask(replica, nodes, depot.asks, now_ms, sender, message)
-    if isinstance(message, m.Append):
+    if isinstance(message, m.ShardAppend):
         seen = nodes.seen.get(message.name)
         if seen and seen.incarnation == message.incarnation:
             seen.heard_ms = now_ms
         return batch_writer.stage(replica, writer, now_ms, sender, message.section)
-    if isinstance(message, m.RecoverAsk):
+    if isinstance(message, m.RecoveryRequest):
         return leases.on_recover(replica, writer, sender, message)
     return leases.on_release(replica, writer, nodes, now_ms, message)
 
@@ -151,7 +151,7 @@
             depot.nodes = leases.NodeTable(tick_ms=depot.nodes.tick_ms)
     elif not depot.writer.serving and replica.commit >= replica.term_index:
         depot.writer = batch_writer.open_writer(replica, depot.writer)
-        effects.append(Note("serves", {"term": replica.term, "commit": replica.commit}))
+        effects.append(LogLine("serves", {"term": replica.term, "commit": replica.commit}))
     if depot.writer.serving:
         effects += batch_writer.settle(replica, depot.writer, now_ms)
         effects += feed.push(replica, depot.nodes, now_ms)
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -8,7 +8,7 @@
 """
 
 from transport.codec import to_bytes
-from transport.effects import Dump, Note, Send
+from transport.effects import DumpLog, LogLine, Send
 from transport.messages import Batch, TransferLeadership, VoteReply, VoteRequest
 
 from replication import log_replication, state_machine
@@ -45,7 +45,7 @@
     """Become a follower; a newer term is saved before anything else is told."""
     effects = []
     if replica.role == "leader":
-        effects.append(Note("left-lead", {"term": replica.term}))
+        effects.append(LogLine("left-lead", {"term": replica.term}))
     replica.role, replica.pre_vote = "follower", False
     replica.votes = set()
     if term > replica.term:
@@ -84,13 +84,14 @@
     )
     if heard < majority(replica) and now_ms - replica.led_from_ms > 1.5 * replica.times.elect_ms:
         return step_back(replica, replica.term, now_ms) + [
-            Note("majority-silent", {"term": replica.term}),
-            Dump("majority-silent"),
+            LogLine("majority-silent", {"term": replica.term}),
+            DumpLog("majority-silent"),
         ]
     if _stalled(replica, now_ms):
-        return [Note("disk-stalled", {"term": replica.term}), Dump("disk-stalled")] + hand_over(
-            replica, now_ms
-        )
+        return [
+            LogLine("disk-stalled", {"term": replica.term}),
+            DumpLog("disk-stalled"),
+        ] + hand_over(replica, now_ms)
     effects = []
     for peer in replica.progress.values():
         if now_ms - peer.sent_ms >= replica.times.heartbeat_ms:
@@ -163,7 +164,7 @@
         first.append(state_machine.members_section(members(replica)))
     replica.term_index = last_index(replica) + 1
     return [
-        Note("leads", {"term": replica.term, "index": last_index(replica)})
+        LogLine("leads", {"term": replica.term, "index": last_index(replica)})
     ] + log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(first))))
 
 
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from transport.effects import Send, Wake
-from transport.messages import FeedItems, Mark
+from transport.messages import FeedEntries, FreshnessMark
 
 from replication import entry_batch, feed_snapshots, log_replication
 from replication.group import entry_at
@@ -28,8 +28,8 @@
 
 @dataclass
 class Asks:
-    """(sender, Ask, the round that answers it) of each that waits, and when a round for them
-    last began."""
+    """(sender, FeedRequest, the round that answers it) of each that waits, and when a round
+    for them last began."""
 
     waiting: list = field(default_factory=list)
     round_ms: float = float("-inf")
@@ -73,7 +73,7 @@
     ready = [a for a in asks.waiting if a[2] <= round_]
     asks.waiting = [a for a in asks.waiting if a[2] > round_]
     effects = [
-        Send(sender, Mark(ask.sent_ms, replica.term, replica.commit, True))
+        Send(sender, FreshnessMark(ask.sent_ms, replica.term, replica.commit, True))
         for sender, ask, _ in ready
     ]
     if asks.waiting:
@@ -125,7 +125,7 @@
         node.moved_ms = now_ms
     node.sent_place = entries[-1].index
     node.in_flight.append((node.sent_place, size))
-    return [Send(node.address, FeedItems(replica.term, node.sent_place, entries))]
+    return [Send(node.address, FeedEntries(replica.term, node.sent_place, entries))]
 
 
 def _due(replica, first):
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -12,12 +12,12 @@
 
 from transport.effects import Send
 from transport.messages import (
-    Ask,
     FeedChunk,
     FeedChunkReply,
-    FeedItems,
+    FeedEntries,
+    FeedRequest,
     FeedSnapshot,
-    Mark,
+    FreshnessMark,
 )
 from transport.transfer_messages import ChunkAck
 
@@ -83,7 +83,7 @@
     follow.asked_ms = now_ms
     return Send(
         to,
-        Ask(
+        FeedRequest(
             card.name,
             card.address,
             card.incarnation,
@@ -181,7 +181,7 @@
             continue
         if asked.place < follow.place:
             effects += _catch_up(follow, now_ms, sender, asked.place)
-        effects.append(Send(sender, Mark(asked.sent_ms, follow.term, follow.place, False)))
+        effects.append(Send(sender, FreshnessMark(asked.sent_ms, follow.term, follow.place, False)))
     follow.relays = [r for r in follow.relays if follow.current_ms < r[2]]
     return effects
 
@@ -192,7 +192,7 @@
         follow.relayed.pop(sender, None)
         due = (entry for entry in follow.recent if entry.index > place)
         entries, _ = entry_batch.up_to_bytes(due, _BYTES_PER_SEND)
-        return [Send(sender, FeedItems(follow.term, entries[-1].index, entries))]
+        return [Send(sender, FeedEntries(follow.term, entries[-1].index, entries))]
     _drop_old(follow, now_ms)
     relayed = follow.relayed.get(sender)
     if relayed is None or relayed.outgoing.snapshot.id.index <= place:
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
+from transport.effects import LogLine, Send
 from transport.messages import ShardChunk
 from transport.rendezvous import weight
 
@@ -143,7 +143,7 @@
     section = state_machine.lease_section(shard, part.epoch + 1, name, nodes.seen[name].incarnation)
     batch_writer.stage_own(writer, section)
     writer.next[shard] = max(flying + [part.next - 1]) + 1
-    return [Note("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
+    return [LogLine("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
 
 
 def on_release(replica, writer, nodes, now_ms, message):
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from transport.effects import Finished, Note, Send
+from transport.effects import Finished, LogLine, Send
 from transport.messages import LeaveReply, LeaveRequest
 
 from replication import election
@@ -111,7 +111,7 @@
 
 def _end(leave, why):
     leave.done = True
-    return [Note("left-group", {"why": why}), Finished()]
+    return [LogLine("left-group", {"why": why}), Finished()]
 
 
 def on_reply(replica, leave, message):
--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -4,7 +4,7 @@
 leader's log, so it is cumulative.
 """
 
-from transport.effects import Install, Note, Send
+from transport.effects import Install, LogLine, Send
 from transport.messages import AppendReply
 
 from replication import log_commit, state_machine
@@ -46,7 +46,7 @@
     effects = []
     if not replica.group:
         replica.group = message.group
-        effects.append(Note("joins", {"group": replica.group}))
+        effects.append(LogLine("joins", {"group": replica.group}))
     if message.term > replica.term or len(effects):
         replica.term = max(replica.term, message.term)
         replica.voted_for, replica.verified = "", 0
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -12,7 +12,7 @@
 from collections import Counter
 
 from transport.codec import to_bytes
-from transport.effects import Note
+from transport.effects import LogLine
 from transport.messages import Batch, Member
 
 from replication import catch_up, leaving, log_replication, state_machine
@@ -182,5 +182,5 @@
 def _change(replica, now_ms, wanted, verb, name):
     section = state_machine.members_section(wanted)
     return [
-        Note("member-" + verb, {"name": name, "majority": majority(replica)})
+        LogLine("member-" + verb, {"name": name, "majority": majority(replica)})
     ] + log_replication.propose(replica, now_ms, to_bytes(Batch((section,))))
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from transport.effects import Send
-from transport.messages import Append, RecoverAsk, Section, ShardChunkReply
+from transport.messages import BatchSection, RecoveryRequest, ShardAppend, ShardChunkReply
 
 from replication import snapshot_transfer, state_machine
 
@@ -80,7 +80,7 @@
 
 def recover(log, now_ms, card, to):
     log.asked_ms = now_ms
-    return [Send(to, RecoverAsk(log.shard, log.epoch, card.address, 0))]
+    return [Send(to, RecoveryRequest(log.shard, log.epoch, card.address, 0))]
 
 
 def on_chunk(log, now_ms, sender, message):
@@ -128,8 +128,8 @@
         records = _section_records(log.unacked[first - log.durable - 1 :])
         under_way += sum(len(record) for record in records)
         log.sent, log.sent_ms = log.sent + len(records), now_ms
-        section = Section(log.shard, log.epoch, state_machine.RECORDS, first, records)
-        effects.append(Send(to, Append(card.name, card.incarnation, section)))
+        section = BatchSection(log.shard, log.epoch, state_machine.RECORDS, first, records)
+        effects.append(Send(to, ShardAppend(card.name, card.incarnation, section)))
     return effects
 
 
@@ -203,10 +203,10 @@
     if now_ms - prepared.offered_ms < retry_ms:
         return []
     prepared.offered_ms = now_ms
-    section = Section(
+    section = BatchSection(
         log.shard, log.epoch, state_machine.CHECKPOINT, prepared.position, (prepared.body,)
     )
-    return [Send(to, Append(card.name, card.incarnation, section))]
+    return [Send(to, ShardAppend(card.name, card.incarnation, section))]
 
 
 def barrier(log, then):
--- a/libs/replication/src/replication/state_machine.py
+++ b/libs/replication/src/replication/state_machine.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from transport.codec import from_bytes, to_bytes
-from transport.messages import Batch, Member, Section
+from transport.messages import Batch, BatchSection, Member
 
 __all__ = [
     "StateMachine",
@@ -177,13 +177,13 @@
 
 def lease_section(shard, epoch, holder, incarnation):
     told = json.dumps({"holder": holder, "incarnation": incarnation}).encode()
-    return Section(shard, epoch, LEASE, 0, (told,))
+    return BatchSection(shard, epoch, LEASE, 0, (told,))
 
 
 def members_section(members):
     told = [vars(members[i]) for i in sorted(members)]
-    return Section(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(told).encode(),))
+    return BatchSection(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(told).encode(),))
 
 
 def term_section(term):
-    return Section(GROUP_SHARD, term, TERM, 0, ())
+    return BatchSection(GROUP_SHARD, term, TERM, 0, ())
--- a/libs/routing/src/routing/final_answers.py
+++ b/libs/routing/src/routing/final_answers.py
@@ -17,7 +17,7 @@
     """The task's final answer; what promises that it has not run is told only if no leg
     may have."""
     if task.may_have_run:
-        failure = failures.once_begun(failure)
+        failure = failures.for_started_request(failure)
     r.tasks.pop(task.token, None)
     r.refused += 1
     gone = leave_line(r, task, "refused")
--- a/libs/routing/src/routing/refusal_notes.py
+++ b/libs/routing/src/routing/refusal_notes.py
@@ -10,7 +10,7 @@
 from placement import ledger as ledgers
 from placement import world
 from placement.placement import item_name
-from transport.effects import Note
+from transport.effects import LogLine
 
 from routing import choice
 
@@ -54,7 +54,7 @@
         "enginesInAll": len(engines),
     }
     router.refusal_noted_ms, router.refusals_unnoted = now_ms, 0
-    router.refusal_notes.append(Note("refused", facts, True))
+    router.refusal_notes.append(LogLine("refused", facts, True))
 
 
 def _engine(router, now_ms, floor, task, item, engine, crew):
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -9,7 +9,7 @@
 import time
 
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.wrappers import Response
 
 from routing import answers, attempts, passing
@@ -39,7 +39,7 @@
         sock = environ.get("werkzeug.socket")
 
         def gone():
-            return sock is not None and hung_up(sock)
+            return sock is not None and closed_by_peer(sock)
 
         try:
             return self._serve(token, told, step, gone)
--- a/libs/routing/src/routing/serving.py
+++ b/libs/routing/src/routing/serving.py
@@ -6,7 +6,7 @@
 """
 
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 
 from routing import callers, engines, legs, pieces
 from routing.router import Leg
@@ -117,7 +117,7 @@
     """Our own final answer; a promise only if no leg may have run."""
     if not isinstance(step, failures.Failure):
         step = failures.OutcomeUnknown("caller-left")
-    return callers.refusal(failures.once_begun(step) if may_have_run else step)
+    return callers.refusal(failures.for_started_request(step) if may_have_run else step)
 
 
 class _CutOff(ConnectionError):
@@ -158,4 +158,4 @@
 def _gone_check(environ):
     """A function that says whether the caller has closed its end."""
     sock = environ.get("werkzeug.socket")
-    return lambda: sock is not None and hung_up(sock)
+    return lambda: sock is not None and closed_by_peer(sock)
--- a/libs/simulation/src/simulation/engine_orders/steps.py
+++ b/libs/simulation/src/simulation/engine_orders/steps.py
@@ -8,8 +8,8 @@
 
 from placement import again, orders, placer, world
 from placement import ledger as ledgers
-from transport.effects import Call
-from transport.events import Called
+from transport.effects import EngineCall
+from transport.events import CallEnded
 
 from simulation.engine_orders import truth
 from simulation.engine_orders.settings import ENGINE, SERVICE, TERMS
@@ -165,7 +165,7 @@
 
 def _fly(state, effects):
     for call in effects:
-        if not isinstance(call, Call):
+        if not isinstance(call, EngineCall):
             continue
         size_mb, places, _ = world.size_of(state.registry, call.body["item"])
         state.flying.append(
@@ -219,7 +219,7 @@
 
 def _end(state, call, status, begun=True, body=None):
     state.answers.pop(call, None)
-    called = Called(call, status, body or {}, begun)
+    called = CallEnded(call, status, body or {}, begun)
     placer.on_called(state.placer, state.now_ms, call, called, state.registry, _SHARDS, TERMS)
 
 
--- a/libs/simulation/src/simulation/hollow/floor.py
+++ b/libs/simulation/src/simulation/hollow/floor.py
@@ -49,7 +49,7 @@
     worlds.after(
         floor.world,
         _CALL_MS,
-        lambda: worlds.post(floor.world, host, e.Called(effect.id, code, body), kind),
+        lambda: worlds.post(floor.world, host, e.CallEnded(effect.id, code, body), kind),
     )
 
 
@@ -137,10 +137,10 @@
 
     def end():
         floor.served += 1
-        worlds.post(world, host, e.Asked(token, "ended", {"proof": "done"}), "ended")
+        worlds.post(world, host, e.LocalRequest(token, "ended", {"proof": "done"}), "ended")
 
     world.waiting[token] = answered
-    worlds.post(world, host, e.Asked(token, "passage", told), "passage")
+    worlds.post(world, host, e.LocalRequest(token, "passage", told), "passage")
 
 
 def change_on(floor, per_s):
@@ -174,7 +174,7 @@
     worlds.post(
         world,
         host,
-        e.Asked(
+        e.LocalRequest(
             token,
             "written",
             {"expect": before, "written": told, "partial": partial, "change": token},
--- a/libs/simulation/src/simulation/hollow/world.py
+++ b/libs/simulation/src/simulation/hollow/world.py
@@ -16,7 +16,7 @@
 from replication import group as groups
 from transport import events as e
 from transport import frames
-from transport.effects import Call, Reply, Send, Wake, Write
+from transport.effects import EngineCall, Reply, Send, Wake, Write
 
 from simulation.hollow import meter as meters
 
@@ -125,7 +125,7 @@
         waiter = world.waiting.pop(effect.token, None)
         if waiter is not None:
             waiter(effect.outcome)
-    elif isinstance(effect, Call):
+    elif isinstance(effect, EngineCall):
         world.on_call(host, effect)
     elif isinstance(effect, Wake):
         after(
@@ -154,7 +154,7 @@
     if target is not host:
         meters.took(target.meter, kind, len(data))
     begun_s = time.process_time()
-    found, broken = frames.feed(target.intakes.setdefault(host.name, frames.Intake()), data)
+    found, broken = frames.feed(target.intakes.setdefault(host.name, frames.FrameBuffer()), data)
     meters.spent(target.meter, kind, time.process_time() - begun_s)
     assert broken is None
     for message in found:
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -87,7 +87,7 @@
         kept(door, caller, measured, ended)
 
     listener.Door._judge = judge
-    gateway.hung_up = relaying.hung_up = lambda sock: False
+    gateway.closed_by_peer = relaying.closed_by_peer = lambda sock: False
 
 
 def _forgotten_order():
--- a/libs/simulation/src/simulation/measure.py
+++ b/libs/simulation/src/simulation/measure.py
@@ -55,11 +55,11 @@
 
     def __init__(self, fleet):
         address = f"127.0.0.1:{free_ports(1)[0]}"
-        self._card = m.Card("driver", "counter", "north", address, address, "driver.1")
+        self._card = m.NodeInfo("driver", "counter", "north", address, address, "driver.1")
         self._got = queue.SimpleQueue()
         self._pipes = Connections(
             address,
-            lambda: m.Greet(self._card, False, (), greetings.NO_GROUP),
+            lambda: m.Gossip(self._card, False, (), greetings.NO_GROUP),
             lambda _, message: self._got.put(message),
             lambda *_: None,
             2000,
@@ -106,7 +106,7 @@
 
     def _take(self, message, shards):
         now_ms = time.monotonic() * 1000
-        if isinstance(message, m.FeedItems):
+        if isinstance(message, m.FeedEntries):
             follower.on_items(self._follow, message)
         elif isinstance(message, m.FeedChunk):
             effects, _ = follower.on_chunk(self._follow, now_ms, "driver", self._leader, message)
@@ -114,7 +114,7 @@
         elif isinstance(message, m.ShardChunk):
             held = self._held[message.shard]
             self._out(shard_log.on_chunk(held, now_ms, self._leader, message)[0])
-        elif isinstance(message, m.Durable):
+        elif isinstance(message, m.DurablePositions):
             moved = 0
             for place in message.places:
                 held = self._held[place.shard]
--- a/libs/simulation/src/simulation/model/history.py
+++ b/libs/simulation/src/simulation/model/history.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from replication import group as groups
-from transport.messages import AppendReply, Durable, Mark, VoteReply
+from transport.messages import AppendReply, DurablePositions, FreshnessMark, VoteReply
 
 from simulation.model.forks import label, members_in, text
 from simulation.model.invariants import (
@@ -120,13 +120,13 @@
 
     def on_client(self, world, replica, message):
         self.written = ""
-        if isinstance(message, Durable):
+        if isinstance(message, DurablePositions):
             for place in message.places:
                 for first in range(1, place.position + 1):
                     if (replica.identity, first) in self.sent:
                         self.told[first] = self.sent[replica.identity, first]
             self.asked = True
-        if isinstance(message, Mark) and message.sent_ms in self.reads:
+        if isinstance(message, FreshnessMark) and message.sent_ms in self.reads:
             if message.place < self.reads.pop(message.sent_ms):
                 self.broken("reads-current", f"{replica.identity} answers {message.place}")
 
--- a/libs/simulation/src/simulation/model/steps.py
+++ b/libs/simulation/src/simulation/model/steps.py
@@ -4,7 +4,7 @@
 
 from replication import state_machine
 from transport import events
-from transport.messages import Append, Ask, Section
+from transport.messages import BatchSection, FeedRequest, ShardAppend
 
 from simulation.model.forks import NOW_MS
 from simulation.model.machine import ELECT_MS
@@ -150,7 +150,7 @@
 
 def _leave(world, step):
     """A replica is told to stop, and asks to be let go, once more if it did before."""
-    world.handle(step.name, events.Closing())
+    world.handle(step.name, events.Shutdown())
     core = world.replicas[step.name].core
     if core is not None and core.leave is not None:
         core.leave.asked_ms = _LONG_AGO_MS
@@ -179,8 +179,8 @@
     world.history.written = ""
     record = b"c%d" % world.history.commands
     world.history.sent[replica.identity, first] = record
-    section = Section(0, 0, state_machine.RECORDS, first, (record,))
-    event = events.Received(CLIENT, Append(CLIENT, "1", section))
+    section = BatchSection(0, 0, state_machine.RECORDS, first, (record,))
+    event = events.Received(CLIENT, ShardAppend(CLIENT, "1", section))
     world.handle(name, event, now_ms=now_ms)
 
 
@@ -191,7 +191,7 @@
     number = float(world.spent["read"])
     world.history.written = ""
     world.history.reads[number] = len(world.history.committed)
-    ask = Ask(CLIENT, CLIENT, "1", "reader", number, replica.core.group.commit)
+    ask = FeedRequest(CLIENT, CLIENT, "1", "reader", number, replica.core.group.commit)
     world.handle(step.name, events.Received(CLIENT, ask))
 
 
--- a/libs/simulation/src/simulation/model/world.py
+++ b/libs/simulation/src/simulation/model/world.py
@@ -12,8 +12,8 @@
 
 from replication import depot as depots
 from replication import group as groups
-from transport.effects import Finished, Install, Note, Save, Send, Write
-from transport.messages import Card, Member
+from transport.effects import Finished, Install, LogLine, Save, Send, Write
+from transport.messages import Member, NodeInfo
 
 from simulation.model.forks import NOW_MS, renamed, text
 from simulation.model.history import History
@@ -102,7 +102,7 @@
         return entries
 
     def _card(self, replica, group):
-        return Card(
+        return NodeInfo(
             replica.name, "depot", "z", replica.name, "h", "1", replica.identity, not group.group
         )
 
@@ -150,7 +150,7 @@
     def _finish(self, name, effects):
         """The process ends in order: it was let go, or its time is up."""
         replica = self.own(name)
-        if not any(isinstance(e, Note) and e.facts.get("why") == _TIME_IS_UP for e in effects):
+        if not any(isinstance(e, LogLine) and e.facts.get("why") == _TIME_IS_UP for e in effects):
             self.history.left(self, replica)
         self.crash(name, [slot.number for slot in replica.storage.under_way()])
 
--- a/libs/simulation/src/simulation/placing.py
+++ b/libs/simulation/src/simulation/placing.py
@@ -7,8 +7,8 @@
 
 from placement import placer, state, world
 from replication.shard_log import ShardLog
-from transport.effects import Call, Reply
-from transport.events import Called
+from transport.effects import EngineCall, Reply
+from transport.events import CallEnded
 
 __all__ = ["TERMS", "Late", "PlainEngine", "Scene", "Stale", "engine_facts"]
 
@@ -178,7 +178,7 @@
         for effect in effects:
             if isinstance(effect, Reply):
                 self.told.append(effect)
-            elif isinstance(effect, Call):
+            elif isinstance(effect, EngineCall):
                 self._call(effect)
 
     def _call(self, call):
@@ -186,20 +186,20 @@
         engine, id_ = self.engines[call.engine], call.id.split("|", 2)[2]
         told = self._answers(call)
         if told is None and call.verb == "report":
-            told = Called(call.id, 200, _told(engine, self.now_ms))
+            told = CallEnded(call.id, 200, _told(engine, self.now_ms))
         elif isinstance(told, Stale):
-            report = Called(call.id, 200, _told(engine, self.now_ms))
+            report = CallEnded(call.id, 200, _told(engine, self.now_ms))
             self._after(told.read_ms, lambda: self._called(id_, report))
             return
         elif told == "unsent":
-            told = Called(call.id, 0, {}, False)
+            told = CallEnded(call.id, 0, {}, False)
         elif isinstance(told, Late):
             self._after(told.arrives_ms, lambda: self._order(engine, call))
-            self._after(told.ends_ms, lambda: self._called(id_, Called(call.id, 0)))
+            self._after(told.ends_ms, lambda: self._called(id_, CallEnded(call.id, 0)))
             return
         elif told in (None, "lost"):
             code = self._order(engine, call)
-            told = Called(call.id, code if told is None else 0)
+            told = CallEnded(call.id, code if told is None else 0)
         self._called(id_, told)
 
     def _order(self, engine, call):
--- a/libs/simulation/src/simulation/register/cluster.py
+++ b/libs/simulation/src/simulation/register/cluster.py
@@ -140,7 +140,7 @@
         self._count += 1
         token = f"operator-{self._count}"
         self.world.replies[name, host.life, token] = answered
-        worlds.post(self.world, host, e.Asked(token, verb, body))
+        worlds.post(self.world, host, e.LocalRequest(token, verb, body))
         return token
 
     def http(self, name, method, path, data, match, answered):
@@ -162,7 +162,7 @@
 
         token = self.ask(name, verb, asked, done)
         host = self.world.hosts[name]
-        return lambda: worlds.post(self.world, host, e.Asked(token, "abandoned", {}))
+        return lambda: worlds.post(self.world, host, e.LocalRequest(token, "abandoned", {}))
 
     def zones(self, name, answered):
         """A confirmed read of the zones evacuated, by the product's own interface."""
--- a/libs/simulation/src/simulation/restart_cost.py
+++ b/libs/simulation/src/simulation/restart_cost.py
@@ -110,7 +110,7 @@
         """The answer to a written change, once it has one."""
         self._asked += 1
         token = f"t{self._asked}"
-        self._handle(e.Asked(token, "written", body))
+        self._handle(e.LocalRequest(token, "written", body))
         self._tick()
         self.until(lambda: token in self._answers)
         return self._answers.pop(token)
--- a/libs/simulation/src/simulation/sim/engines.py
+++ b/libs/simulation/src/simulation/sim/engines.py
@@ -55,14 +55,14 @@
 def call(world, history, host, effect, life):
     """A placer's order or report, there and back."""
     if effect.not_after_ms < worlds.local(world, host):
-        worlds.post(world, host, e.Called(effect.id, 0, {}, False))
+        worlds.post(world, host, e.CallEnded(effect.id, 0, {}, False))
         return
     done = []
 
     def answer(code, body, begun=True):
         if not done and host.life == life:
             done.append(1)
-            worlds.post(world, host, e.Called(effect.id, code, body, begun))
+            worlds.post(world, host, e.CallEnded(effect.id, code, body, begun))
 
     engine = world.engines.get(effect.engine)
     if engine is None or not engine.up:
--- a/libs/simulation/src/simulation/sim/floor.py
+++ b/libs/simulation/src/simulation/sim/floor.py
@@ -81,7 +81,7 @@
             end(failures.OutcomeUnknown("node-gone"))
             return
         world.replies[host.name, life, token] = got
-        worlds.post(world, host, e.Asked(token, verb, body))
+        worlds.post(world, host, e.LocalRequest(token, verb, body))
 
     def step(outcome):
         if isinstance(outcome, Leg):
@@ -111,7 +111,7 @@
         if "outcome" not in task and host.life == life and host.node is not None:
             task["left"] = True
             if not task["legs"]:
-                worlds.post(world, host, e.Asked(token, "ended", {"proof": "gone"}))
+                worlds.post(world, host, e.LocalRequest(token, "ended", {"proof": "gone"}))
 
     if leaves_ms is not None:
         worlds.after(world, leaves_ms, leave)
--- a/libs/simulation/src/simulation/sim/harm.py
+++ b/libs/simulation/src/simulation/sim/harm.py
@@ -60,7 +60,7 @@
     """SIGTERM: the machine ends in order, and starts again after `back_ms`, if at all."""
     host, world = _host(run, name), run.world
     life, leave_ms = host.life, host.node.times.leave_ms
-    worlds.post(world, host, e.Closing())
+    worlds.post(world, host, e.Shutdown())
 
     def ended():
         if host.life == life and host.node is not None:
--- a/libs/simulation/src/simulation/sim/operators.py
+++ b/libs/simulation/src/simulation/sim/operators.py
@@ -45,7 +45,7 @@
                 self._ask(verb, body, then, tries - 1)
 
         self.world.replies[host.name, life, token] = got
-        worlds.post(self.world, host, e.Asked(token, verb, body))
+        worlds.post(self.world, host, e.LocalRequest(token, verb, body))
         worlds.after(self.world, _ASK_MS, late)
 
     def _again(self, verb, body, then, tries):
--- a/libs/simulation/src/simulation/sim/world.py
+++ b/libs/simulation/src/simulation/sim/world.py
@@ -12,7 +12,7 @@
 from pulleyhitch import node as nodes
 from replication import group as groups
 from transport import events as e
-from transport.effects import Call, Finished, Install, Note, Reply, Save, Send, Wake, Write
+from transport.effects import EngineCall, Finished, Install, LogLine, Reply, Save, Send, Wake, Write
 
 from simulation.sim import disk as disks
 from simulation.sim.network import NetworkTerms, cut, heal, latency, passes, reaches
@@ -214,7 +214,7 @@
             waiter = world.replies.pop((host.name, life, effect.token), None)
             if waiter:
                 waiter(effect.outcome)
-        elif isinstance(effect, Call):
+        elif isinstance(effect, EngineCall):
             world.on_call(host, effect, life)
         elif isinstance(effect, Wake):
             wait_ms = max(0.001, effect.at_ms - local(world, host))
@@ -223,7 +223,7 @@
             )
         elif isinstance(effect, Finished):
             kill(world, host)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             host.notes.append((world.now_ms, effect.what, effect.facts))
 
 
--- a/libs/transport/src/transport/codec.py
+++ b/libs/transport/src/transport/codec.py
@@ -17,7 +17,7 @@
 import struct
 import typing
 
-__all__ = ["to_bytes", "from_bytes", "BadBody"]
+__all__ = ["to_bytes", "from_bytes", "DecodeError"]
 
 _FIXED = {int: "q", float: "d", bool: "?"}
 _ONE_BYTE_LENGTH = 0x7F
@@ -28,7 +28,7 @@
 """Bytes of a length that we read at most; 64 bits fit."""
 
 
-class BadBody(Exception):
+class DecodeError(Exception):
     """Bytes that do not spell the dataclass they claim to be."""
 
 
@@ -43,7 +43,7 @@
     try:
         _record(kind).read(data, 0, found)
     except (struct.error, ValueError, LookupError, TypeError, OverflowError, MemoryError) as broken:
-        raise BadBody(kind.__name__) from broken
+        raise DecodeError(kind.__name__) from broken
     return found[0]
 
 
--- a/libs/transport/src/transport/compression.py
+++ b/libs/transport/src/transport/compression.py
@@ -8,7 +8,7 @@
 import functools
 import zlib
 
-__all__ = ["NotRestored", "compressed", "restored"]
+__all__ = ["DecompressionError", "compress", "decompress"]
 
 # Shorter bodies gain less than they cost.
 _LEAST_BYTES = 160
@@ -31,36 +31,36 @@
 )
 
 
-class NotRestored(Exception):
+class DecompressionError(Exception):
     """Bytes that are no compressed body, or one of more than the bytes allowed."""
 
 
-def compressed(body):
+def compress(body):
     """A shorter form of some bytes, or None if there is none worth having."""
     if len(body) < _LEAST_BYTES:
         return None
     if len(body) > _MOST_KEPT_BYTES:
-        return _compressed(body)
-    return _compressed_before(body)
+        return _compress(body)
+    return _compress_cached(body)
 
 
-def _compressed(body):
+def _compress(body):
     packer = zlib.compressobj(_LEVEL, zdict=_WORDS)
     made = packer.compress(body) + packer.flush()
     return made if len(made) < len(body) else None
 
 
-_compressed_before = functools.lru_cache(maxsize=_KEPT)(_compressed)
+_compress_cached = functools.lru_cache(maxsize=_KEPT)(_compress)
 
 
-def restored(data, most_bytes):
-    """The bytes of a compressed form; raises NotRestored if it is cut, spoilt, longer than
+def decompress(data, most_bytes):
+    """The bytes of a compressed form; raises DecompressionError if it is cut, spoilt, longer than
     `most_bytes`, or followed by anything."""
     unpacker = zlib.decompressobj(zdict=_WORDS)
     try:
         body = unpacker.decompress(data, most_bytes)
     except zlib.error as wrong:
-        raise NotRestored(str(wrong)) from wrong
+        raise DecompressionError(str(wrong)) from wrong
     if not unpacker.eof or unpacker.unused_data:
-        raise NotRestored("not whole")
+        raise DecompressionError("not whole")
     return body
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from transport import frames
-from transport.messages import Greet
+from transport.messages import Gossip
 
 __all__ = ["Connections"]
 
@@ -47,7 +47,7 @@
     """A connection that somebody dialled."""
 
     sock: socket.socket
-    intake: frames.Intake = field(default_factory=frames.Intake)
+    intake: frames.FrameBuffer = field(default_factory=frames.FrameBuffer)
     sender: str = ""
 
 
@@ -240,7 +240,7 @@
         found, broken = frames.feed(reader.intake, data)
         for message in found:
             if not reader.sender:
-                if not isinstance(message, Greet):
+                if not isinstance(message, Gossip):
                     self._on_note("connection-rude", {"kind": type(message).__name__})
                     return False
                 reader.sender = message.card.address
--- a/libs/transport/src/transport/effects.py
+++ b/libs/transport/src/transport/effects.py
@@ -7,7 +7,18 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["Send", "Save", "Install", "Write", "Reply", "Call", "Wake", "Note", "Dump", "Finished"]
+__all__ = [
+    "Send",
+    "Save",
+    "Install",
+    "Write",
+    "Reply",
+    "EngineCall",
+    "Wake",
+    "LogLine",
+    "DumpLog",
+    "Finished",
+]
 
 
 @dataclass(frozen=True)
@@ -51,8 +62,8 @@
 
 
 @dataclass(frozen=True)
-class Call:
-    """Call an engine, unless it is too late to; answer with a Called event."""
+class EngineCall:
+    """Call an engine, unless it is too late to; answer with a CallEnded event."""
 
     id: str
     engine: str
@@ -69,7 +80,7 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class LogLine:
     """A line for the ring; an urgent one is written out at once."""
 
     what: str
@@ -78,7 +89,7 @@
 
 
 @dataclass(frozen=True)
-class Dump:
+class DumpLog:
     """Something went wrong: write the ring out."""
 
     why: str
--- a/libs/transport/src/transport/events.py
+++ b/libs/transport/src/transport/events.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["Received", "Tick", "Written", "Called", "Asked", "Closing"]
+__all__ = ["Received", "Tick", "Written", "CallEnded", "LocalRequest", "Shutdown"]
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Called:
+class CallEnded:
     """An engine call ended: `code` 0 means no answer, `begun` that bytes left, `kept` that
     the connection had carried other calls before."""
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class LocalRequest:
     """A local asker wants something; it waits on `token`."""
 
     token: str
@@ -47,5 +47,5 @@
 
 
 @dataclass(frozen=True)
-class Closing:
+class Shutdown:
     pass
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -45,7 +45,7 @@
     "Unreachable",
     "as_json",
     "retry_after",
-    "once_begun",
+    "for_started_request",
     "NOT_RUN_STATUSES",
 ]
 
@@ -264,7 +264,7 @@
     return {"failure": failure.tag, **dataclasses.asdict(failure)}
 
 
-def once_begun(failure):
+def for_started_request(failure):
     """What may be told of work that may have run: nothing that promises it hasn't."""
     return OutcomeUnknown("leg-broken") if failure.status in NOT_RUN_STATUSES else failure
 
--- a/libs/transport/src/transport/frames.py
+++ b/libs/transport/src/transport/frames.py
@@ -13,7 +13,7 @@
 
 from transport import codec, compression, messages
 
-__all__ = ["Intake", "Broken", "pack", "feed", "LIMIT_BYTES"]
+__all__ = ["FrameBuffer", "BrokenFrame", "pack", "feed", "LIMIT_BYTES"]
 
 LIMIT_BYTES = 32 << 20
 _MAGIC = b"PHW1"
@@ -23,50 +23,50 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Broken:
+class BrokenFrame:
     """A frame that cannot be trusted; `cause` is one of a closed set."""
 
     cause: str
 
 
 @dataclasses.dataclass
-class Intake:
+class FrameBuffer:
     waiting: bytearray = dataclasses.field(default_factory=bytearray)
 
 
 def pack(message):
     body = codec.to_bytes(message)
     kind = messages.KIND_OF[type(message)]
-    shorter = compression.compressed(body)
+    shorter = compression.compress(body)
     if shorter is not None:
         body, kind = shorter, kind | _COMPRESSED
     return _HEADER.pack(_MAGIC, kind, len(body), zlib.crc32(body)) + body
 
 
 def feed(intake, data):
-    """Return (messages, Broken or None)."""
+    """Return (messages, BrokenFrame or None)."""
     intake.waiting += data
     found = []
     while len(intake.waiting) >= _HEADER.size:
         magic, kind, size, crc = _HEADER.unpack_from(intake.waiting)
         if magic != _MAGIC:
-            return found, Broken("magic")
+            return found, BrokenFrame("magic")
         if size > LIMIT_BYTES:
-            return found, Broken("oversized")
+            return found, BrokenFrame("oversized")
         known = messages.TYPE_OF.get(kind & ~_COMPRESSED)
         if known is None:
-            return found, Broken("kind")
+            return found, BrokenFrame("kind")
         end = _HEADER.size + size
         if len(intake.waiting) < end:
             break
         body = bytes(intake.waiting[_HEADER.size : end])
         if zlib.crc32(body) != crc:
-            return found, Broken("checksum")
+            return found, BrokenFrame("checksum")
         try:
             if kind & _COMPRESSED:
-                body = compression.restored(body, LIMIT_BYTES)
+                body = compression.decompress(body, LIMIT_BYTES)
             found.append(codec.from_bytes(known, body))
-        except (codec.BadBody, compression.NotRestored):
-            return found, Broken("body")
+        except (codec.DecodeError, compression.DecompressionError):
+            return found, BrokenFrame("body")
         del intake.waiting[:end]
     return found, None
--- a/libs/transport/src/transport/log_ring.py
+++ b/libs/transport/src/transport/log_ring.py
@@ -12,10 +12,10 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-__all__ = ["Ring"]
+__all__ = ["LogRing"]
 
 
-class Ring:
+class LogRing:
     """`note` is the one public method; `why` makes it write the ring out."""
 
     def __init__(self, node, size=2000, stream=None):
--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from transport.quota_messages import QuotaAsk, QuotaGrant
+from transport.quota_messages import QuotaReply, QuotaRequest
 from transport.replication_messages import (
     AppendEntries,
     AppendReply,
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Card:
+class NodeInfo:
     """Who a process is and where it is reached."""
 
     name: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class GroupCard:
+class GroupInfo:
     """The depots' membership as somebody knows it; the highest term wins."""
 
     group: str
@@ -58,17 +58,17 @@
 
 
 @dataclass(frozen=True)
-class Greet:
+class Gossip:
     """`digest` and `names` tell in short which cards, and which names, the sender
     knows, its own included.  `silent`: how long each node has not been heard of by
     anyone, a byte each: of all names in order to one who is known to know the same,
     of `cards` to another.  `ages`: how long ago each of `cards` was first met.  `group`: the
     depots' membership, empty to one who has told the same `group_digest`."""
 
-    card: Card
+    card: NodeInfo
     answer: bool
-    cards: tuple[Card, ...]
-    group: GroupCard
+    cards: tuple[NodeInfo, ...]
+    group: GroupInfo
     silent: bytes = b""
     digest: int = 0
     names: int = 0
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class FeedRequest:
     """A node's ping: who asks, from which place it follows, when it sent this, and
     when it sent the last one whose answer reached it."""
 
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class FreshnessMark:
     """All up to `place` was current when the ask was sent; a majority said so."""
 
     sent_ms: float
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True)
-class FeedItems:
+class FeedEntries:
     term: int
     place: int
     entries: tuple[Entry, ...]
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True)
-class Section:
+class BatchSection:
     """One shard's records inside a batch."""
 
     shard: int
@@ -127,27 +127,27 @@
 
 
 @dataclass(frozen=True)
-class Append:
+class ShardAppend:
     name: str
     incarnation: str
-    section: Section
+    section: BatchSection
 
 
 @dataclass(frozen=True)
-class ShardPlace:
+class ShardPosition:
     shard: int
     epoch: int
     position: int
 
 
 @dataclass(frozen=True)
-class Durable:
+class DurablePositions:
     term: int
-    places: tuple[ShardPlace, ...]
+    places: tuple[ShardPosition, ...]
 
 
 @dataclass(frozen=True)
-class Refused:
+class AppendRefused:
     """A leader doesn't take a section; `term` is the leader's."""
 
     shard: int
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True)
-class RecoverAsk:
+class RecoveryRequest:
     shard: int
     epoch: int
     address: str
@@ -166,7 +166,7 @@
 
 
 @dataclass(frozen=True)
-class Release:
+class LeaseRelease:
     """An orderly holder gives its lease back and names who should follow."""
 
     name: str
@@ -176,7 +176,7 @@
 
 
 @dataclass(frozen=True)
-class Command:
+class ShardCommand:
     """An operator's or a router's wish for the holder of a shard."""
 
     id: str
@@ -187,7 +187,7 @@
 
 
 @dataclass(frozen=True)
-class CommandAnswer:
+class ShardCommandReply:
     id: str
     status: int
     body: bytes
@@ -197,11 +197,11 @@
 class Batch:
     """The body of a log entry: the sections that were written together."""
 
-    sections: tuple[Section, ...]
+    sections: tuple[BatchSection, ...]
 
 
 _ALL = (
-    Greet,
+    Gossip,
     BootstrapRequest,
     BootstrapReply,
     VoteRequest,
@@ -210,25 +210,25 @@
     AppendReply,
     ReplicaChunk,
     TransferLeadership,
-    Ask,
-    Mark,
-    FeedItems,
+    FeedRequest,
+    FreshnessMark,
+    FeedEntries,
     FeedChunk,
-    Append,
-    Durable,
-    Refused,
-    RecoverAsk,
+    ShardAppend,
+    DurablePositions,
+    AppendRefused,
+    RecoveryRequest,
     ShardChunk,
-    Release,
-    Command,
-    CommandAnswer,
+    LeaseRelease,
+    ShardCommand,
+    ShardCommandReply,
     LeaveRequest,
     LeaveReply,
     ReplicaChunkReply,
     FeedChunkReply,
     ShardChunkReply,
-    QuotaAsk,
-    QuotaGrant,
+    QuotaRequest,
+    QuotaReply,
 )
 KIND_OF = {kind: number for number, kind in enumerate(_ALL, 1)}
 TYPE_OF = {number: kind for kind, number in KIND_OF.items()}
--- a/libs/transport/src/transport/quota_messages.py
+++ b/libs/transport/src/transport/quota_messages.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["QuotaAsk", "QuotaGiven", "QuotaGrant", "QuotaWant"]
+__all__ = ["QuotaReply", "QuotaRequest", "TokenDemand", "TokenGrant"]
 
 
 @dataclass(frozen=True)
-class QuotaWant:
+class TokenDemand:
     """Tokens for a tenant: `needed` by requests that wait, `ahead` for those to come.  The
     limit is that of the configuration's `version` which the asker follows."""
 
@@ -19,15 +19,15 @@
 
 
 @dataclass(frozen=True)
-class QuotaAsk:
+class QuotaRequest:
     """`number` is the asker's own; without wants it only asks whether the depot gives any."""
 
     number: int
-    wants: tuple[QuotaWant, ...]
+    wants: tuple[TokenDemand, ...]
 
 
 @dataclass(frozen=True)
-class QuotaGiven:
+class TokenGrant:
     """`left` are in the bucket still; `wait_ms`: when to come back if too few were given."""
 
     given: int
@@ -36,9 +36,9 @@
 
 
 @dataclass(frozen=True)
-class QuotaGrant:
+class QuotaReply:
     """The answer to an ask, in the order of its wants; none if the depot may not give any."""
 
     number: int
     granting: bool
-    given: tuple[QuotaGiven, ...]
+    given: tuple[TokenGrant, ...]
--- a/libs/transport/src/transport/ends.py
+++ b/libs/transport/src/transport/socket_state.py
@@ -2,12 +2,12 @@
 
 import select
 
-__all__ = ["hung_up"]
+__all__ = ["closed_by_peer"]
 
 _GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def hung_up(sock):
+def closed_by_peer(sock):
     """Whether the other end has closed, whatever it sent before, without waiting."""
     try:
         poll = select.poll()
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -22,7 +22,7 @@
 
 
 def batch(shard, first, *records):
-    section = m.Section(shard, 1, state_machine.RECORDS, first, records)
+    section = m.BatchSection(shard, 1, state_machine.RECORDS, first, records)
     return to_bytes(m.Batch((section,)))
 
 
@@ -31,7 +31,7 @@
     replica.group, replica.term = "g", 1
     replica.founders = tuple(m.Member(n, n, n) for n in NAMES)
     replica.elect_at_ms = 1e12
-    card = m.Card(name, "depot", "z", name, name, name, name)
+    card = m.NodeInfo(name, "depot", "z", name, name, name, name)
     return depots.Depot(replica, 2, card)
 
 
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -5,13 +5,13 @@
 from membership import greetings, peer_table
 from transport import frames
 from transport.effects import Send
-from transport.messages import Card, GroupCard
+from transport.messages import GroupInfo, NodeInfo
 
-GROUP = GroupCard("g", 1, 1, "10.0.0.0:1", ())
+GROUP = GroupInfo("g", 1, 1, "10.0.0.0:1", ())
 
 
 def card(number, life="1"):
-    return Card(
+    return NodeInfo(
         f"n{number:03d}",
         "counter",
         "z",
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -20,7 +20,7 @@
     str: c.PascalString(c.VarInt, "utf8"),
     bytes: c.Prefixed(c.VarInt, c.GreedyBytes),
 }
-NO_GROUP = messages.GroupCard("", 0, 0, "", ())
+NO_GROUP = messages.GroupInfo("", 0, 0, "", ())
 VALUES = {
     int: st.integers(-(2**63), 2**63 - 1),
     float: st.floats(allow_nan=False),
@@ -80,7 +80,7 @@
 def read(kind, body):
     try:
         return codec.from_bytes(kind, body)
-    except codec.BadBody:
+    except codec.DecodeError:
         return None
 
 
@@ -133,13 +133,13 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(
     st.lists(
-        st.builds(messages.Card, *[st.sampled_from(("", "a", "å", "a" * 127, "a" * 128))] * 7)
-        | st.builds(messages.Card, *[st.sampled_from(("", "a"))] * 7, st.booleans()),
+        st.builds(messages.NodeInfo, *[st.sampled_from(("", "a", "å", "a" * 127, "a" * 128))] * 7)
+        | st.builds(messages.NodeInfo, *[st.sampled_from(("", "a"))] * 7, st.booleans()),
         max_size=12,
     )
 )
 def test_records_that_are_written_again_keep_their_own_bytes(cards):
-    greet = functools.partial(messages.Greet, messages.Card(*[""] * 6), False, group=NO_GROUP)
+    greet = functools.partial(messages.Gossip, messages.NodeInfo(*[""] * 6), False, group=NO_GROUP)
     for _ in range(2):
         value = greet(cards=tuple(cards))
-        assert codec.to_bytes(value) == layout(messages.Greet).build(as_construct(value))
+        assert codec.to_bytes(value) == layout(messages.Gossip).build(as_construct(value))
--- a/tests/test_compression.py
+++ b/tests/test_compression.py
@@ -6,7 +6,7 @@
 import pytest
 from placement import ledger
 from transport import compression, frames
-from transport.messages import Entry, FeedItems
+from transport.messages import Entry, FeedEntries
 
 RECORDS = [
     ledger.order_record("i-59b90ae761", "daka510000", "load", "3.2.759", 72700.0, 0, "golo93a"),
@@ -18,7 +18,7 @@
 
 def news(count=1):
     body = b"".join(RECORDS)
-    return FeedItems(3, 9, tuple(Entry(n, 3, body) for n in range(count)))
+    return FeedEntries(3, 9, tuple(Entry(n, 3, body) for n in range(count)))
 
 
 def test_news_of_the_log_takes_less_than_half():
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("count", (1, 2, 40, 400))
 def test_what_was_packed_is_read_back(count):
     data = frames.pack(news(count))
-    intake, found = frames.Intake(), []
+    intake, found = frames.FrameBuffer(), []
     for at in range(0, len(data), 1000):
         messages, broken = frames.feed(intake, data[at : at + 1000])
         assert broken is None
@@ -39,35 +39,35 @@
 
 
 def test_short_ones_and_noise_go_as_they_are():
-    assert compression.compressed(b"x" * 100) is None
-    assert compression.compressed(random.Random(1).randbytes(4000)) is None
+    assert compression.compress(b"x" * 100) is None
+    assert compression.compress(random.Random(1).randbytes(4000)) is None
 
 
 def test_spoilt_bytes_are_refused():
-    rng, whole = random.Random(2), compression.compressed(b"".join(RECORDS) * 3)
+    rng, whole = random.Random(2), compression.compress(b"".join(RECORDS) * 3)
     for _ in range(300):
         spoilt = bytearray(whole)
         spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
-        with pytest.raises(compression.NotRestored):
-            found = compression.restored(bytes(spoilt), 1 << 20)
+        with pytest.raises(compression.DecompressionError):
+            found = compression.decompress(bytes(spoilt), 1 << 20)
             assert found != b"".join(RECORDS) * 3
-            raise compression.NotRestored
+            raise compression.DecompressionError
     for cut in range(len(whole)):
-        with pytest.raises(compression.NotRestored):
-            compression.restored(whole[:cut], 1 << 20)
-    with pytest.raises(compression.NotRestored):
-        compression.restored(whole + b"x", 1 << 20)
+        with pytest.raises(compression.DecompressionError):
+            compression.decompress(whole[:cut], 1 << 20)
+    with pytest.raises(compression.DecompressionError):
+        compression.decompress(whole + b"x", 1 << 20)
 
 
 def test_no_more_is_restored_than_allowed():
-    bomb = compression.compressed(b"a" * (1 << 22))
+    bomb = compression.compress(b"a" * (1 << 22))
     assert len(bomb) < 1 << 14
-    with pytest.raises(compression.NotRestored):
-        compression.restored(bomb, 1 << 20)
+    with pytest.raises(compression.DecompressionError):
+        compression.decompress(bomb, 1 << 20)
 
 
 def test_another_dictionary_is_refused():
     packer = zlib.compressobj(4, zdict=b"other words")
     data = packer.compress(b"".join(RECORDS)) + packer.flush()
-    with pytest.raises(compression.NotRestored):
-        compression.restored(data, 1 << 20)
+    with pytest.raises(compression.DecompressionError):
+        compression.decompress(data, 1 << 20)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -9,7 +9,14 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 from transport.effects import Send, Write
-from transport.messages import Durable, Member, RecoverAsk, Refused, Section, ShardChunkReply
+from transport.messages import (
+    AppendRefused,
+    BatchSection,
+    DurablePositions,
+    Member,
+    RecoveryRequest,
+    ShardChunkReply,
+)
 
 TIMES = dict(elect_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
 
@@ -46,7 +53,7 @@
             if isinstance(effect, Write):
                 took_ms = self.flush_ms * (0.9 + 0.2 * self.rng.random())
                 self.at(took_ms, "written", effect.entries[-1], took_ms)
-            elif isinstance(effect, Send) and isinstance(effect.message, Durable):
+            elif isinstance(effect, Send) and isinstance(effect.message, DurablePositions):
                 for place in effect.message.places:
                     assert place.position > self.durable.get(place.shard, 0)
                     self.durable[place.shard] = place.position
@@ -68,7 +75,7 @@
                         self.d,
                         self.now,
                         f"pipe{shard}",
-                        Section(shard, 1, state_machine.RECORDS, first, (b"{}",)),
+                        BatchSection(shard, 1, state_machine.RECORDS, first, (b"{}",)),
                     )
                 )
             self.do(batch_writer.settle(self.g, self.d, self.now))
@@ -92,7 +99,7 @@
 def recovered(table, shard, epoch):
     """A new holder's log after one ask, and the bytes in each message to it."""
     log, sizes = shard_log.ShardLog(shard, epoch), []
-    queue = leases.on_recover(table.g, table.d, "new", RecoverAsk(shard, epoch, "new", 0))
+    queue = leases.on_recover(table.g, table.d, "new", RecoveryRequest(shard, epoch, "new", 0))
     while queue:
         message = queue.pop(0).message
         if isinstance(message, ShardChunkReply):
@@ -120,25 +127,25 @@
     def test_stale_epochs_and_gaps_are_refused(self):
         table = Table(2, 1.0)
         for epoch, first, cause in ((0, 1, "epoch"), (2, 1, "epoch"), (1, 2, "place")):
-            section = Section(1, epoch, state_machine.RECORDS, first, (b"{}",))
+            section = BatchSection(1, epoch, state_machine.RECORDS, first, (b"{}",))
             told = batch_writer.stage(table.g, table.d, 0.0, "p", section)[0].message
-            self.assertIsInstance(told, Refused)
+            self.assertIsInstance(told, AppendRefused)
             self.assertThat(told.cause, Equals(cause))
         self.assertThat(table.d.staged, Equals([]))
 
     def test_a_grant_drops_staged_sections_but_not_those_in_flight(self):
         table = Table(2, 10.0)
-        flying = Section(1, 1, state_machine.RECORDS, 1, (b'{"k":"a"}',))
+        flying = BatchSection(1, 1, state_machine.RECORDS, 1, (b'{"k":"a"}',))
         table.do(batch_writer.stage(table.g, table.d, 0.0, "old", flying))
         table.do(batch_writer.write_due(table.g, table.d, 0.0))
-        staged = Section(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
+        staged = BatchSection(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         table.do(batch_writer.stage(table.g, table.d, 0.0, "old", staged))
         nodes = leases.NodeTable(seen={"new": leases.Seen("n", "n.1", "counter", 0.0)})
         leases._lease(table.g, table.d, nodes, 1, "new")
         self.assertThat([s.kind for s in table.d.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(table.g, table.d, 0.0, "old", staged)[0].message
         self.assertThat(late.cause, Equals("epoch"))
-        ask = RecoverAsk(1, 2, "new", 0)
+        ask = RecoveryRequest(1, 2, "new", 0)
         self.assertThat(
             leases.on_recover(table.g, table.d, "new", ask),
             Equals([]),
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -31,7 +31,7 @@
             feeding.commit(1000 + turn, 10)
             since_ms = feeding.now_ms if since_ms is None else since_ms
             for effect in feed.push(group, feeding.depot.nodes, feeding.now_ms):
-                self.assertIsInstance(effect.message, m.FeedItems)
+                self.assertIsInstance(effect.message, m.FeedEntries)
                 pushed, since_ms = pushed + 1, None
             if since_ms is not None:
                 longest_ms = max(longest_ms, feeding.now_ms - since_ms)
@@ -72,7 +72,7 @@
                 effects += depots._receive(feeding.depot, now_ms, "f", ask, "g")
             effects += feed.answer(replica, asks, now_ms)
             for effect in effects:
-                if isinstance(getattr(effect, "message", None), m.Mark):
+                if isinstance(getattr(effect, "message", None), m.FreshnessMark):
                     asked_ms = since.pop(effect.message.sent_ms)
                     longest_ms = max(longest_ms, now_ms - asked_ms)
         return replica.round - before, longest_ms, replica.times.heartbeat_ms
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -36,7 +36,7 @@
         self.depot.group.progress = {}
         self.depot.group.founders = (m.Member("a", "a", "a"),)
         self.follow = follower.Follow()
-        self.card = m.Card("f", "counter", "z", "f", "f", "f.1")
+        self.card = m.NodeInfo("f", "counter", "z", "f", "f", "f.1")
         self.now_ms, self.passes = 0.0, lambda message: True
         self.largest = self.chunk_bytes = self.item_bytes = self.rebuilt = 0
 
@@ -72,11 +72,11 @@
         self.largest = max(self.largest, len(frames.pack(message)))
         if isinstance(message, m.FeedChunk):
             self.chunk_bytes += len(message.chunk.body)
-        if isinstance(message, m.FeedItems):
+        if isinstance(message, m.FeedEntries):
             self.item_bytes += sum(len(entry.body) for entry in message.entries)
 
     def _take(self, message):
-        if isinstance(message, m.FeedItems):
+        if isinstance(message, m.FeedEntries):
             follower.on_items(self.follow, message)
         if not isinstance(message, m.FeedChunk):
             return []
@@ -126,7 +126,7 @@
         """Entries that take longer than a ping to arrive on a slow link."""
         feeding = Feeding(1000)
         feeding.ping()
-        feeding.passes = lambda message: not isinstance(message, m.FeedItems)
+        feeding.passes = lambda message: not isinstance(message, m.FeedEntries)
         for number in range(2, 22):
             feeding.commit(number, 100_000)
             feeding.push()
@@ -141,7 +141,7 @@
 
     def test_many_that_start_at_once_take_turns(self):
         feeding = Feeding()
-        cards = [m.Card(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
+        cards = [m.NodeInfo(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
         sent = 0
         for card in cards:
             ask = follower.ask(follower.Follow(), 0.0, card, "a").message
@@ -160,7 +160,7 @@
         feeding.ping()
         now_ms, largest = 10_000.0, 0
         ahead.current_ms = now_ms + 1
-        card = m.Card("g", "counter", "z", "g", "g", "g.1")
+        card = m.NodeInfo("g", "counter", "z", "g", "g", "g.1")
         ask = follower.ask(behind, now_ms, card, "f").message
         follower.on_relay_ask(ahead, now_ms, "g", ask)
         queue = follower.relay(ahead, now_ms)
@@ -180,7 +180,7 @@
         follow = follower.Follow()
         for index in range(1, 200):
             entry = m.Entry(index, 1, batch(1, index, bytes(200_000)))
-            follower.on_items(follow, m.FeedItems(1, index, (entry,)))
+            follower.on_items(follow, m.FeedEntries(1, index, (entry,)))
         kept = sum(len(entry.body) for entry in follow.recent)
         self.assertThat(kept, LessThan(10 << 20))
         self.assertThat(follow.recent_bytes, Equals(kept))
@@ -189,7 +189,7 @@
 class Holders(TestCase):
     def give(self, replica, writer, log, passes):
         """Pings of a holder until it has its shard; the bytes that were sent."""
-        sent, card = 0, m.Card("h", "counter", "z", "h", "h", "h.1")
+        sent, card = 0, m.NodeInfo("h", "counter", "z", "h", "h", "h.1")
         for turn in range(100):
             queue = [("a", e.message) for e in shard_log.recover(log, turn * 240.0, card, "a")]
             while queue:
@@ -199,7 +199,7 @@
                     self.assertThat(len(frames.pack(message)), LessThan(MOST_MESSAGE_BYTES))
                 if not passes():
                     continue
-                if isinstance(message, m.RecoverAsk):
+                if isinstance(message, m.RecoveryRequest):
                     effects = leases.on_recover(replica, writer, "h", message)
                 elif isinstance(message, m.ShardChunkReply):
                     effects = leases.on_chunk_reply(writer, "h", message)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -106,13 +106,13 @@
         for epoch, wanted in ((1, 1), (1, 1), (3, 1), (2, 2), (1, 2)):
             state_machine.apply(made, state_machine.lease_section(5, epoch, f"c{epoch}", "i"), 1)
             self.assertThat(made.shards[5].epoch, Equals(wanted))
-        stale = state_machine.Section(5, 1, state_machine.RECORDS, 1, (b"{}",))
+        stale = state_machine.BatchSection(5, 1, state_machine.RECORDS, 1, (b"{}",))
         self.assertFalse(state_machine.apply(made, stale, 2))
-        gap = state_machine.Section(5, 2, state_machine.RECORDS, 2, (b"{}",))
+        gap = state_machine.BatchSection(5, 2, state_machine.RECORDS, 2, (b"{}",))
         self.assertFalse(state_machine.apply(made, gap, 2))
         self.assertTrue(
             state_machine.apply(
-                made, state_machine.Section(5, 2, state_machine.RECORDS, 1, (b"{}",)), 2
+                made, state_machine.BatchSection(5, 2, state_machine.RECORDS, 1, (b"{}",)), 2
             )
         )
         self.assertThat(state_machine.restore(state_machine.snapshot(made)), Equals(made))
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -66,7 +66,9 @@
 
 def test_every_node_asks_the_log_node_and_is_answered(small):
     kinds = small.roles["counter"]["kinds"]
-    assert kinds["Ask"]["given"][0] == pytest.approx(kinds["Mark"]["taken"][0], rel=0.1)
+    assert kinds["FeedRequest"]["given"][0] == pytest.approx(
+        kinds["FreshnessMark"]["taken"][0], rel=0.1
+    )
 
 
 def test_parts_found_are_the_parts_put_in():
--- a/tests/test_lease_lost.py
+++ b/tests/test_lease_lost.py
@@ -69,7 +69,7 @@
     def change_here(self, name):
         """A change that reaches one node, whatever becomes of it."""
         body = {**self.layout(), "change": "asked-here"}
-        worlds.post(self.run.world, self.host(name), e.Asked("here", "layout", body))
+        worlds.post(self.run.world, self.host(name), e.LocalRequest("here", "layout", body))
 
     def change(self):
         """Ask for a change; returns a list that gets the time of its acknowledgement."""
@@ -114,7 +114,7 @@
         for seed in SEEDS:
             scene = Scene(seed)
             worlds.cut(scene.run.world, scene.holder, scene.leader)
-            worlds.post(scene.run.world, scene.host(scene.holder), e.Closing())
+            worlds.post(scene.run.world, scene.host(scene.holder), e.Shutdown())
             scene.spin(30.0)
             worlds.heal(scene.run.world)
             told = scene.change()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -18,16 +18,16 @@
 from replication import disk as disks
 from replication import group as groups
 from transport.codec import to_bytes
-from transport.effects import Install, Note, Send, Write
+from transport.effects import Install, LogLine, Send, Write
 from transport.messages import (
     AppendEntries,
     AppendReply,
     Batch,
-    Card,
     Entry,
     LeaveReply,
     LeaveRequest,
     Member,
+    NodeInfo,
     ReplicaChunk,
     ReplicaChunkReply,
     TransferLeadership,
@@ -276,7 +276,7 @@
 
 
 def depot_card(name, zone="north"):
-    return Card(name, "depot", zone, name, name, f"{name}.1", name)
+    return NodeInfo(name, "depot", zone, name, name, f"{name}.1", name)
 
 
 def acked(leader, name, index, now_ms):
@@ -303,7 +303,7 @@
 
 
 def changes(effects):
-    return [e.what for e in effects if isinstance(e, Note) and e.what.startswith("member-")]
+    return [e.what for e in effects if isinstance(e, LogLine) and e.what.startswith("member-")]
 
 
 def test_a_learner_under_steady_writes_is_taken_in():
--- a/tests/test_order_notes.py
+++ b/tests/test_order_notes.py
@@ -6,8 +6,8 @@
 from test_platform_asked import Floor
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan
-from transport.effects import Note
-from transport.events import Called
+from transport.effects import LogLine
+from transport.events import CallEnded
 
 
 class Lines(test_platform_again.OrdersHarness):
@@ -28,12 +28,12 @@
             self.p,
             self.now_ms,
             order,
-            Called("", 202, {}, True, True),
+            CallEnded("", 202, {}, True, True),
             self.registry,
             SHARDS,
             TERMS,
         )
-        (note,) = [n for n in notes if isinstance(n, Note)]
+        (note,) = [n for n in notes if isinstance(n, LogLine)]
         self.assertThat((note.what, note.urgent), Equals(("order-answered", True)))
         self.assertThat((note.facts["code"], note.facts["kept"]), Equals((202, True)))
         self.assertThat(self.lines(), Equals([]))
@@ -62,7 +62,7 @@
         for item in floor.items:
             floor.ask(item)
         floor.run(5, lambda rng: None)
-        told = [e.facts for e in seen if isinstance(e, Note) and e.what == "waiting"]
+        told = [e.facts for e in seen if isinstance(e, LogLine) and e.what == "waiting"]
         self.assertThat(len(told), Equals(5))
         self.assertThat(told[0]["missing"], GreaterThan(0))
         self.assertThat(list(told[0]["heldUp"]), Contains("engine busy"))
--- a/tests/test_order_proofs.py
+++ b/tests/test_order_proofs.py
@@ -12,7 +12,7 @@
 from test_platform_asked import Floor
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
-from transport.events import Called
+from transport.events import CallEnded
 
 SEEDS = range(8)
 
@@ -106,7 +106,7 @@
             def answers(call):
                 if call.verb != "unload" or "|again:" in call.id or rng.random() > 0.1:
                     return None
-                return Called(call.id, 200)
+                return CallEnded(call.id, 200)
 
             return answers
 
--- a/tests/test_platform_again.py
+++ b/tests/test_platform_again.py
@@ -10,8 +10,8 @@
 from simulation.placing import SHARDS, TERMS, engine_facts
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan, Not
-from transport.effects import Call, Wake
-from transport.events import Called
+from transport.effects import EngineCall, Wake
+from transport.events import CallEnded
 
 ENDS_MS = 1e9
 
@@ -68,7 +68,7 @@
     def answer(self, id_, code, begun=True):
         self.now_ms += 5
         placer.on_called(
-            self.p, self.now_ms, id_, Called("", code, {}, begun), self.registry, SHARDS, TERMS
+            self.p, self.now_ms, id_, CallEnded("", code, {}, begun), self.registry, SHARDS, TERMS
         )
 
     def carried_out(self, verb):
@@ -86,7 +86,7 @@
         """The calls that are due; the placer is woken when the next one is, and only
         if there is one to come."""
         found = again.due(self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS)
-        calls = [e for e in found if isinstance(e, Call)]
+        calls = [e for e in found if isinstance(e, EngineCall)]
         wakes = [e.at_ms for e in found if isinstance(e, Wake)]
         self.assertThat(len(calls) + len(wakes), Equals(len(found)))
         self.assertThat([at > self.now_ms for at in wakes], Equals([True] * len(wakes)))
--- a/tests/test_platform_asked.py
+++ b/tests/test_platform_asked.py
@@ -9,7 +9,7 @@
 from simulation.placing import PlainEngine, Scene, engine_facts
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
-from transport.events import Called
+from transport.events import CallEnded
 
 ADAPTERS = 2
 
@@ -181,7 +181,7 @@
                 if call.verb == "report" or rng.random() > 0.15:
                     return None
                 told = rng.choice([409, 412, 503, "lost", "lost", "unsent"])
-                return Called(call.id, told, {}) if isinstance(told, int) else told
+                return CallEnded(call.id, told, {}) if isinstance(told, int) else told
 
             floor = Floor(seed, answers=answers)
             floor.run(40, self.zipf(floor))
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -13,7 +13,7 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 from transport import failures
-from transport.events import Called
+from transport.events import CallEnded
 from werkzeug.test import EnvironBuilder
 from werkzeug.wrappers import Request
 
@@ -106,7 +106,7 @@
             r, registry = roster.Roster(), registries.Registry()
             roster.tick(r, 1000.0, terms, "http://p", "0|1")
             effects, changed = roster.on_called(
-                r, 1001.0, "list:1", Called("", 200, found), registry, terms, "http://p", "0|1"
+                r, 1001.0, "list:1", CallEnded("", 200, found), registry, terms, "http://p", "0|1"
             )
             for effect in effects:
                 engines.call_ask("http://p", "list", {**effect.body, "engine": ""})
--- a/tests/test_platform_roster.py
+++ b/tests/test_platform_roster.py
@@ -7,7 +7,7 @@
 from placement.state import Terms
 from testtools import TestCase
 from testtools.matchers import Equals
-from transport.events import Called
+from transport.events import CallEnded
 
 TERMS = Terms(call_ms=100.0, report_ms=100.0, dark_ms=1000.0, list_ms=200.0)
 
@@ -41,13 +41,13 @@
             (call,) = effects
             at = int(call.body["token"] or 0)
             rest = self.engines[at + size :]
-            told = Called(
+            told = CallEnded(
                 call.id,
                 200,
                 {"engines": self.engines[at : at + size], "next": str(at + size) if rest else None},
             )
             if page == fails:
-                told = Called(call.id, 429, {})
+                told = CallEnded(call.id, 429, {})
             effects, changed = roster.on_called(
                 self.roster,
                 self.now_ms,
@@ -101,7 +101,7 @@
         r, registry = roster.Roster(), registries.Registry()
         (first,) = roster.tick(r, 1000.0, TERMS, "http://p", "0|1")
         roster.tick(r, 1300.0, TERMS, "http://p", "0|1")
-        told = Called(first.id, 200, {"engines": [entry("e0")], "next": None})
+        told = CallEnded(first.id, 200, {"engines": [entry("e0")], "next": None})
         self.assertThat(
             roster.on_called(
                 r, 1310.0, first.id.split("|", 2)[2], told, registry, TERMS, "http://p", "0|1"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -51,7 +51,7 @@
         order, done, clock = [], threading.Event(), [0.0]
 
         def seen(event):
-            if isinstance(event, e.Closing):
+            if isinstance(event, e.Shutdown):
                 clock[0] += 10000.0
             order.append(type(event).__name__)
             if len(order) > 11:
@@ -59,10 +59,10 @@
 
         made = self.process(seen)
         self.patch(process, "_now", lambda: clock[0])
-        made._queue.put(e.Closing())
+        made._queue.put(e.Shutdown())
         for _ in range(10):
             made._queue.put(e.Received("a", None))
         made.start()
         self.assertTrue(done.wait(60))
-        first = order[order.index("Closing") + 1 :]
+        first = order[order.index("Shutdown") + 1 :]
         self.assertThat(first[:11], Equals(["Received"] * 10 + ["Tick"]))
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -12,9 +12,9 @@
 from quotas.terms import Limit
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
-from transport.quota_messages import QuotaAsk, QuotaGiven, QuotaGrant, QuotaWant
+from transport.quota_messages import QuotaReply, QuotaRequest, TokenDemand, TokenGrant
 
-EMPTY_FOR_20_S = QuotaGiven(0, 0.0, 20_000.0)
+EMPTY_FOR_20_S = TokenGrant(0, 0.0, 20_000.0)
 
 
 class Cores(TestCase):
@@ -73,8 +73,8 @@
     def test_thousands_of_tenants_are_granted_their_first_requests(self):
         state, share = granting.Granting(TERMS), standing.Share(5, -1e12)
         for number in range(6000):
-            want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
-            grant = granting.on_ask(state, float(number), QuotaAsk(1, (want,)), share)
+            want = TokenDemand(f"t{number}", 1, 0.01, 1.0, 1, 0)
+            grant = granting.on_ask(state, float(number), QuotaRequest(1, (want,)), share)
             self.assertThat(grant.given[0].given, Equals(1))
 
     def test_a_depot_without_room_looks_for_some_once_a_second(self):
@@ -83,8 +83,8 @@
         self.patch(granting, "_drop_full", lambda *facts: looks.append(1) or true_drop(*facts))
         state, share = granting.Granting(TERMS), standing.Share(5, -1e12)
         for number in range(300):
-            want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
-            granting.on_ask(state, 10.0 * number, QuotaAsk(1, (want,)), share)
+            want = TokenDemand(f"t{number}", 1, 0.01, 1.0, 1, 0)
+            granting.on_ask(state, 10.0 * number, QuotaRequest(1, (want,)), share)
         self.assertThat(len(looks), LessThan(4))
 
     # SHORT: a tenant whose limit was raised was refused for what depots had said before.
@@ -93,7 +93,7 @@
         depot_choice.update(state.depots, ["only"])
         spending.take(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
         _, asks = spending.advance(state, 0.0)
-        none_left = QuotaGrant(asks[0].ask.number, True, (EMPTY_FOR_20_S,))
+        none_left = QuotaReply(asks[0].ask.number, True, (EMPTY_FOR_20_S,))
         spending.on_grant(state, 1.0, "only", none_left)
         spending.advance(state, 1.0)
         same = Limit("a", 2, 0.05, 1.0)
@@ -107,8 +107,8 @@
         state, share = granting.Granting(TERMS), standing.Share(1, -1e12)
         rng, given = random.Random(1), []
         for number in range(200):
-            want = spending.QuotaWant(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
-            grant = granting.on_ask(state, 100.0 * number, spending.QuotaAsk(1, (want,)), share)
+            want = spending.TokenDemand(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
+            grant = granting.on_ask(state, 100.0 * number, spending.QuotaRequest(1, (want,)), share)
             given.append((want.tenant, grant.given[0].given))
             self.assertThat(len(state.tenants), LessThan(11))
         for name in {name for name, _ in given}:
@@ -119,8 +119,8 @@
         state, share = granting.Granting(TERMS), standing.Share(2, -1e12)
 
         def ask(now_ms, version, rate, burst):
-            want = spending.QuotaWant("a", version, rate, burst, 1, 0)
-            granting.on_ask(state, now_ms, spending.QuotaAsk(1, (want,)), share)
+            want = spending.TokenDemand("a", version, rate, burst, 1, 0)
+            granting.on_ask(state, now_ms, spending.QuotaRequest(1, (want,)), share)
             return state.tenants["a"].bucket
 
         self.assertThat(ask(0.0, 2, 10.0, 100.0).capacity, Equals(57.5))
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -17,7 +17,7 @@
 from transport import events as e
 from transport import failures
 from transport.effects import Send
-from transport.messages import QuotaAsk
+from transport.messages import QuotaRequest
 
 LIMITED, UNLIMITED = "limited", "unlimited"
 RATE, BURST = 40.0, 8.0
@@ -79,7 +79,7 @@
             self.outcomes[token] = outcome
 
         self.world.replies[(counter, host.life, token)] = answered
-        worlds.post(self.world, host, e.Asked(token, "passage", told))
+        worlds.post(self.world, host, e.LocalRequest(token, "passage", told))
         return token
 
     def load(self, per_s, span_ms, seed=1):
@@ -122,8 +122,8 @@
         told = {"id": "x", "host": "h", "path": "/x", "deadlineMs": 30_000, "key": LIMITED.encode()}
         told |= {"model": "", "adapter": "", "opening": (), "tokens": ()}
         now_ms = worlds.local(self.world, self.world.hosts["c0"])
-        effects = worlds.nodes.handle(node, now_ms, e.Asked("x", "passage", told))
-        asks = [x for x in effects if isinstance(x, Send) and isinstance(x.message, QuotaAsk)]
+        effects = worlds.nodes.handle(node, now_ms, e.LocalRequest("x", "passage", told))
+        asks = [x for x in effects if isinstance(x, Send) and isinstance(x.message, QuotaRequest)]
         self.assertThat(len(asks), Equals(1))
 
     def test_what_has_no_limit_asks_nobody(self):
@@ -139,7 +139,7 @@
         self.spin(20)
         again, host = [], self.world.hosts["c0"]
         self.world.replies[("c0", host.life, token)] = again.append
-        worlds.post(self.world, host, e.Asked(token, "ended", {"proof": "not-run"}))
+        worlds.post(self.world, host, e.LocalRequest(token, "ended", {"proof": "not-run"}))
         self.assertThat([type(x) for x in again], Equals([router.Leg]))
         self.assertThat(self.node("c0").quotas.spending.tenants[LIMITED].spent, Equals(1))
 
@@ -172,7 +172,9 @@
         self.cut_from_depots("c0")
         token = self.ask("c0")
         self.spin(200)
-        worlds.post(self.world, self.world.hosts["c0"], e.Asked(token, "ended", {"proof": "gone"}))
+        worlds.post(
+            self.world, self.world.hosts["c0"], e.LocalRequest(token, "ended", {"proof": "gone"})
+        )
         self.world.cuts.clear()
         self.spin(2000)
         spends = self.node("c0").quotas.spending
@@ -207,7 +209,7 @@
     def test_a_depot_that_closes_gives_nothing(self):
         depot = self.node(self.depots[0])
         depot.closing = True
-        ask = QuotaAsk(1, ())
+        ask = QuotaRequest(1, ())
         (effect,) = quota_requests.on_ask(depot, 1e9, "x", ask)
         self.assertThat(effect.message.granting, Equals(False))
 
--- a/tests/test_restart_cost.py
+++ b/tests/test_restart_cost.py
@@ -90,7 +90,7 @@
 
     def setUp(self):
         super().setUp()
-        self.card = m.Card("h", "depot", "z", "h", "h", "h.1")
+        self.card = m.NodeInfo("h", "depot", "z", "h", "h", "h.1")
         self.log = shard_log.ShardLog(1, 1, ready=True)
 
     def flush(self):
@@ -106,7 +106,7 @@
         self.assertThat(sum(sizes), LessThan(6 << 20))
         while self.log.durable < 40:
             last = sections[-1].first + len(sections[-1].records) - 1
-            shard_log.on_durable(self.log, m.ShardPlace(1, 1, last), 0.0)
+            shard_log.on_durable(self.log, m.ShardPosition(1, 1, last), 0.0)
             sections += self.flush()
         self.assertThat([s.first for s in sections][:3], Equals([1, 3, 5]))
         self.assertThat(sum(len(s.records) for s in sections), Equals(40))
@@ -115,7 +115,7 @@
         shard_log.append(self.log, b"0")
         for position in range(1, 51):
             shard_log.append(self.log, b"%d" % position)
-            shard_log.on_durable(self.log, m.ShardPlace(1, 1, position), 0.0)
+            shard_log.on_durable(self.log, m.ShardPosition(1, 1, position), 0.0)
             if shard_log.checkpoint_due(self.log, 20):
                 shard_log.prepare_checkpoint(self.log, b"state after %d" % (position + 1))
             offered = shard_log.offer_checkpoint(self.log, 0.0, self.card, "a", 0, 3000.0)
@@ -127,7 +127,7 @@
     def test_a_checkpoint_is_offered_until_it_counts(self):
         for _ in range(20):
             shard_log.append(self.log, b"r")
-        shard_log.on_durable(self.log, m.ShardPlace(1, 1, 20), 0.0)
+        shard_log.on_durable(self.log, m.ShardPosition(1, 1, 20), 0.0)
         shard_log.prepare_checkpoint(self.log, b"state")
 
         def offers(now_ms, confirmed_at):
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from membership import greetings, peer_table
-from transport.messages import Card, Greet, GroupCard
+from transport.messages import Gossip, GroupInfo, NodeInfo
 
-GROUP = GroupCard("g", 1, 1, "10.0.0.0:1", ())
+GROUP = GroupInfo("g", 1, 1, "10.0.0.0:1", ())
 LOST_MS, GOSSIP_MS = 3000.0, 360.0
 NAMES = [f"n{number}" for number in range(8)]
 OWN = "n9"
 
 cards = st.builds(
-    lambda name, life, address, empty: Card(
+    lambda name, life, address, empty: NodeInfo(
         name, "counter", "z", address, "10.0.0.1:2", life, "", empty
     ),
     st.sampled_from(NAMES),
@@ -34,7 +34,7 @@
 
 
 def table():
-    own = Card(OWN, "counter", "z", "10.0.0.9:1", "10.0.0.9:2", "a")
+    own = NodeInfo(OWN, "counter", "z", "10.0.0.9:1", "10.0.0.9:2", "a")
     return peer_table.PeerTable(own, (), random.Random(1), GOSSIP_MS, LOST_MS, group=GROUP)
 
 
@@ -85,7 +85,7 @@
         elif kind == "drop":
             peers.cards.pop(card.name, None)
         elif kind == "own":
-            peers.card = Card(**{**vars(card), "name": OWN})
+            peers.card = NodeInfo(**{**vars(card), "name": OWN})
         assert peer_table.digest(peers) == plain_digest(peers)
         assert peer_table.watched(peers) == plain_watched(peers)
         assert greetings.greeting(peers, True, 5.0).names == plain_names(peers)
@@ -122,7 +122,7 @@
         data.draw(st.lists(st.integers(0, 255), min_size=len(names), max_size=len(names)))
     )
     expected = plain_heard(peers, now_ms, names, silent)
-    nobody = Card("", "counter", "z", "10.0.0.5:1", "", "a")
-    greet = Greet(nobody, False, (), GROUP, silent, 1, plain_names(peers))
+    nobody = NodeInfo("", "counter", "z", "10.0.0.5:1", "", "a")
+    greet = Gossip(nobody, False, (), GROUP, silent, 1, plain_names(peers))
     peer_table.on_greet(peers, now_ms, "10.0.0.5:1", greet)
     assert peers.alive_ms == expected
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -25,7 +25,7 @@
 from testtools.matchers import Equals
 from transport import failures
 from transport.effects import Reply
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.test import EnvironBuilder
 from werkzeug.wrappers import Request
 
@@ -175,9 +175,9 @@
                     theirs.close()
                 elif how == "half":
                     theirs.shutdown(socket.SHUT_WR)
-                self.assertThat(hung_up(ours), Equals(how != "stay"), f"{sent} {how}")
+                self.assertThat(closed_by_peer(ours), Equals(how != "stay"), f"{sent} {how}")
                 ours.close()
-                self.assertTrue(hung_up(ours))
+                self.assertTrue(closed_by_peer(ours))
 
     def test_reset(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -185,10 +185,10 @@
             ours, _ = listener.accept()
         self.addCleanup(ours.close)
         theirs.sendall(b"bytes after its request")
-        self.assertFalse(hung_up(ours))
+        self.assertFalse(closed_by_peer(ours))
         theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         theirs.close()
-        self.assertTrue(hung_up(ours))
+        self.assertTrue(closed_by_peer(ours))
 
 
 class Routed(TestCase):
--- a/tests/test_waybill.py
+++ b/tests/test_waybill.py
@@ -14,10 +14,10 @@
 from testtools.matchers import Equals
 from transport import codec, frames, messages
 from transport.connections import Connections
-from transport.messages import Release
+from transport.messages import LeaseRelease
 
-CARD = messages.Card("n", "counter", "z", "127.0.0.1:1", "127.0.0.1:2", "i")
-HELLO = messages.Greet(CARD, False, (), messages.GroupCard("", 0, 0, "", ()))
+CARD = messages.NodeInfo("n", "counter", "z", "127.0.0.1:1", "127.0.0.1:2", "i")
+HELLO = messages.Gossip(CARD, False, (), messages.GroupInfo("", 0, 0, "", ()))
 
 
 def made_up(kind, rng):
@@ -42,7 +42,7 @@
         rng = random.Random(7)
         sent = [made_up(kind, rng) for kind in messages.KIND_OF for _ in range(5)]
         data = b"".join(frames.pack(m) for m in sent)
-        intake, got = frames.Intake(), []
+        intake, got = frames.FrameBuffer(), []
         while data:
             size = rng.randrange(1, 900)
             found, broken = frames.feed(intake, data[:size])
@@ -58,7 +58,7 @@
         for at in range(len(whole)):
             bad = bytearray(whole)
             bad[at] ^= 1 << rng.randrange(8)
-            found, broken = frames.feed(frames.Intake(), bytes(bad))
+            found, broken = frames.feed(frames.FrameBuffer(), bytes(bad))
             self.assertThat(found, Equals([]))
             if broken:
                 causes.add(broken.cause)
@@ -66,12 +66,14 @@
 
     def test_oversized_and_nonsense(self):
         head = struct.pack(">4sHII", b"PHW1", 1, frames.LIMIT_BYTES + 1, 0)
-        self.assertThat(frames.feed(frames.Intake(), head)[1], Equals(frames.Broken("oversized")))
+        self.assertThat(
+            frames.feed(frames.FrameBuffer(), head)[1], Equals(frames.BrokenFrame("oversized"))
+        )
         for size in range(0, 40):
             body = random.Random(size).randbytes(size)
             try:
                 codec.from_bytes(messages.AppendEntries, body)
-            except codec.BadBody:
+            except codec.DecodeError:
                 pass
 
 
@@ -122,7 +124,7 @@
         self.addCleanup(here.close)
         self.addCleanup(there.close)
         for turn in range(200):
-            here.send(addresses[1], Release("n", turn, 1, ""))
+            here.send(addresses[1], LeaseRelease("n", turn, 1, ""))
             line = here._lines[addresses[1]]
             old = line.sock
             with here._lock:
@@ -132,6 +134,6 @@
                 here._dial(line)
                 if old is not None:
                     here._on_line(line, old, selectors.EVENT_READ | selectors.EVENT_WRITE)
-        here.send(addresses[1], Release("n", 999, 1, ""))
-        while got.get(timeout=10) != Release("n", 999, 1, ""):
+        here.send(addresses[1], LeaseRelease("n", 999, 1, ""))
+        while got.get(timeout=10) != LeaseRelease("n", 999, 1, ""):
             pass
