--- a/libs/configuration/src/configuration/registry.py
+++ b/libs/configuration/src/configuration/registry.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 
 from transport.failures import (
+    EarlierRefusal,
     EditionAhead,
     FieldWrong,
-    RefusedBefore,
     StampStale,
     as_json,
 )
@@ -164,7 +164,7 @@
     if isinstance(kept, dict) and kept["status"] == 200:
         return {**kept["told"], "again": True}, None
     if isinstance(kept, dict):
-        return None, RefusedBefore(kept["status"], kept["told"])
+        return None, EarlierRefusal(kept["status"], kept["told"])
     return {"stamp": kept, "again": True}, None
 
 
--- a/libs/membership/src/membership/greetings.py
+++ b/libs/membership/src/membership/greetings.py
@@ -6,13 +6,13 @@
 
 import math
 
-from transport.messages import Gossip, GroupInfo
+from transport.messages import Gossip, GroupCard
 
 from membership import summaries
 
 __all__ = ["LONGEST_SILENCE", "NO_GROUP", "SILENCE_STEPS", "greeting"]
 
-NO_GROUP = GroupInfo("", 0, 0, "", ())
+NO_GROUP = GroupCard("", 0, 0, "", ())
 # Steps of silence in the time after which a node counts as lost, and the most of them.
 SILENCE_STEPS = 64
 LONGEST_SILENCE = 255
--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from transport.effects import LogLine, Send
-from transport.messages import GroupInfo, NodeInfo
+from transport.messages import GroupCard, NodeInfo
 
 from membership import greetings, summaries
 from membership.greetings import LONGEST_SILENCE, NO_GROUP, SILENCE_STEPS
@@ -46,12 +46,12 @@
     cards: dict = field(default_factory=dict)
     heard_ms: dict = field(default_factory=dict)
     alive_ms: dict = field(default_factory=dict)
-    group: GroupInfo = NO_GROUP
+    group: GroupCard = NO_GROUP
     next_ms: float = 0.0
     turn: int = 0
     digests: dict = field(default_factory=dict)
     group_digests: dict = field(default_factory=dict)
-    turn_group: GroupInfo = NO_GROUP
+    turn_group: GroupCard = NO_GROUP
     group_turn: int = 0
     met_ms: dict = field(default_factory=dict)
     learned_ms: dict = field(default_factory=dict)
@@ -113,31 +113,31 @@
 def on_greet(peers, now_ms, sender, message):
     """Learn from a greeting, and answer it if it asks for that."""
     effects = []
-    if message.card.name and message.card.name != peers.card.name:
-        effects += _meet(peers, now_ms, message.card, None)
-    peers.digests[message.card.address] = message.digest, message.names
-    peers.group_digests[message.card.address] = message.group_digest
-    for number, card in enumerate(message.cards):
+    if message.sender.name and message.sender.name != peers.card.name:
+        effects += _meet(peers, now_ms, message.sender, None)
+    peers.digests[message.sender.address] = message.digest, message.names_digest
+    peers.group_digests[message.sender.address] = message.group_digest
+    for number, card in enumerate(message.nodes):
         if card.name != peers.card.name:
             if number < len(message.ages):
                 effects += _meet(peers, now_ms, card, now_ms - message.ages[number])
     _hear(peers, now_ms, message)
-    learn_group(peers, message.group, message.card.address)
-    if message.answer:
+    learn_group(peers, message.group, message.sender.address)
+    if message.wants_reply:
         effects.append(Send(sender, greetings.greeting(peers, False, now_ms, sender)))
     return effects
 
 
 def _hear(peers, now_ms, message):
     """Take how lately others have heard of each node."""
-    names, alive_ms = [card.name for card in message.cards], peers.alive_ms
-    if len(message.silent) == len(peers.cards) + 1:
+    names, alive_ms = [card.name for card in message.nodes], peers.alive_ms
+    if len(message.silence) == len(peers.cards) + 1:
         made = summaries.of(peers)
-        if message.names == made.names_digest:
+        if message.names_digest == made.names_digest:
             names = made.names
-    if len(message.silent) != len(names):
+    if len(message.silence) != len(names):
         return
-    for name, steps in zip(names, message.silent):
+    for name, steps in zip(names, message.silence):
         if name != peers.card.name:
             at_ms = now_ms - steps * peers.lost_ms / SILENCE_STEPS - peers.gossip_ms / 10
             if steps == LONGEST_SILENCE:
--- a/libs/placement/src/placement/again.py
+++ b/libs/placement/src/placement/again.py
@@ -100,7 +100,7 @@
         return "loaded"
     if called.code == 200:
         return "unknown" if first else "unloaded"
-    if called.code in (400, 404, 409, 412, 421, 429, 503) or not called.begun:
+    if called.code in (400, 404, 409, 412, 421, 429, 503) or not called.request_sent:
         return "refused"
     return "unknown"
 
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -56,7 +56,7 @@
             "code": called.code,
             "state": state,
             "again": again,
-            "kept": called.kept,
+            "kept": called.reused_connection,
         },
     )
 
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -37,7 +37,7 @@
     return Front(
         _split(address),
         app,
-        lambda *what: process.ring.note("http", {"what": str(what)[:2000]}, why="http"),
+        lambda *what: process.ring.log("http", {"what": str(what)[:2000]}, dump_reason="http"),
     )
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -56,7 +56,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: asked.set())
     signal.signal(signal.SIGHUP, lambda *_: look.set())
-    signal.signal(signal.SIGUSR1, lambda *_: process.ring.note("asked", {}, why="asked"))
+    signal.signal(signal.SIGUSR1, lambda *_: process.ring.log("asked", {}, dump_reason="asked"))
     _settle_memory()
     process.start()
     for name, door in doors:
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -108,7 +108,7 @@
         return disk, group
 
     def _note(self, what, facts):
-        self.ring.note(what, facts)
+        self.ring.log(what, facts)
 
     def start(self):
         self._owner.start()
@@ -202,7 +202,7 @@
             raise
 
     def _fail(self, failure):
-        self.ring.note("stops", failures.as_json(failure), why=failure.tag)
+        self.ring.log("stops", failures.as_json(failure), dump_reason=failure.tag)
         self._stopped.set()
 
     def _do(self, effect):
@@ -222,11 +222,11 @@
         elif isinstance(effect, Wake):
             self._wake_ms = min(self._wake_ms, effect.at_ms)
         elif isinstance(effect, LogLine):
-            self.ring.note(effect.what, effect.facts, urgent=effect.urgent)
+            self.ring.log(effect.event, effect.facts, urgent=effect.urgent)
         elif isinstance(effect, Finished):
             self._finished.set()
         elif isinstance(effect, DumpLog):
-            self.ring.note("dump", {}, why=effect.why)
+            self.ring.log("dump", {}, dump_reason=effect.reason)
 
     def _write(self, effect):
         last = effect.entries[-1]
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -58,7 +58,7 @@
         self._front = Front(
             (host, int(port)),
             self._app,
-            lambda *what: process.ring.note("http", {"what": str(what)[:2000]}, why="http"),
+            lambda *what: process.ring.log("http", {"what": str(what)[:2000]}, dump_reason="http"),
         )
         try:
             self._door = Door(
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -145,7 +145,7 @@
 
 def on_durable(ownership, now_ms, message, follow, floor, times, terms):
     effects = []
-    for place in message.places:
+    for place in message.positions:
         kept = ownership.owners.get(place.shard)
         if kept is None:
             continue
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -53,7 +53,7 @@
         return QuotaReply(ask.number, False, ())
     if share != state.share:
         _reshare(state, now_ms, share)
-    return QuotaReply(ask.number, True, tuple(_give(state, now_ms, w, share) for w in ask.wants))
+    return QuotaReply(ask.number, True, tuple(_give(state, now_ms, w, share) for w in ask.demands))
 
 
 def _reshare(state, now_ms, share):
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -11,7 +11,7 @@
 
 from transport.codec import from_bytes, to_bytes
 from transport.effects import Save
-from transport.messages import Batch, GroupInfo, Member
+from transport.messages import Batch, GroupCard, Member
 
 from replication import snapshot_transfer, state_machine
 from replication.catch_up import CatchUp
@@ -194,7 +194,7 @@
 def group_card(replica):
     stamp = replica.member_entries[-1][0] if replica.member_entries else replica.state.members_stamp
     leader = replica.address if replica.role == "leader" else replica.leader_address
-    return GroupInfo(
+    return GroupCard(
         replica.group,
         replica.term,
         stamp,
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -59,16 +59,16 @@
             ask.incarnation,
             ask.role,
             now_ms,
-            ask.place,
-            ask.answered_ms,
+            ask.position,
+            ask.answered_sent_ms,
             now_ms,
-            sent_place=ask.place,
+            sent_place=ask.position,
         )
         return
-    old.heard_ms, old.address, old.place = now_ms, ask.address, ask.place
+    old.heard_ms, old.address, old.place = now_ms, ask.address, ask.position
     old.role = ask.role
-    if ask.answered_ms > old.answered_ms:
-        old.answered_ms, old.took_ms = ask.answered_ms, now_ms
+    if ask.answered_sent_ms > old.answered_ms:
+        old.answered_ms, old.took_ms = ask.answered_sent_ms, now_ms
 
 
 def excuse_freeze(replica, nodes, now_ms):
--- a/libs/simulation/src/simulation/hollow/pace.py
+++ b/libs/simulation/src/simulation/hollow/pace.py
@@ -9,7 +9,7 @@
 import time
 
 from transport import frames
-from transport.messages import Gossip, GroupInfo, NodeInfo
+from transport.messages import Gossip, GroupCard, NodeInfo
 
 __all__ = ["QUIET_MS", "sample", "factor"]
 
@@ -17,14 +17,14 @@
 _CARDS = tuple(
     NodeInfo(f"n{i}", "counter", "z", "10.0.0.1:1", "10.0.0.1:2", "life") for i in range(40)
 )
-_PIECE = Gossip(_CARDS[0], False, _CARDS, GroupInfo("g", 1, 1, "", ()))
+_PIECE = Gossip(_CARDS[0], False, _CARDS, GroupCard("g", 1, 1, "", ()))
 
 
 def sample():
     """Processor ms of the piece: packing, reading and sorting, as the cores do."""
     begun_s = time.process_time()
     for _ in range(3):
-        frames.feed(frames.FrameBuffer(), frames.pack(_PIECE))
+        frames.receive(frames.FrameBuffer(), frames.pack(_PIECE))
         sorted(repr(card) for card in _CARDS)
     return (time.process_time() - begun_s) * 1000
 
--- a/libs/simulation/src/simulation/hollow/run.py
+++ b/libs/simulation/src/simulation/hollow/run.py
@@ -71,7 +71,7 @@
                 peers.alive_ms[name] = peers.heard_ms[name] = world.now_ms
         peer_table.learn_group(peers, group)
         told = greetings.greeting(peers, False, world.now_ms)
-        peers.digests = {c.address: (told.digest, told.names) for c in cards.values()}
+        peers.digests = {c.address: (told.digest, told.names_digest) for c in cards.values()}
         peers.settled_turns, peers.turn = 100, world.random.randrange(1, 9)
         peers.next_ms = world.now_ms + world.random.random() * 3 * peers.gossip_ms
 
--- a/libs/simulation/src/simulation/hollow/world.py
+++ b/libs/simulation/src/simulation/hollow/world.py
@@ -154,7 +154,7 @@
     if target is not host:
         meters.took(target.meter, kind, len(data))
     begun_s = time.process_time()
-    found, broken = frames.feed(target.intakes.setdefault(host.name, frames.FrameBuffer()), data)
+    found, broken = frames.receive(target.intakes.setdefault(host.name, frames.FrameBuffer()), data)
     meters.spent(target.meter, kind, time.process_time() - begun_s)
     assert broken is None
     for message in found:
--- a/libs/simulation/src/simulation/measure.py
+++ b/libs/simulation/src/simulation/measure.py
@@ -116,7 +116,7 @@
             self._out(shard_log.on_chunk(held, now_ms, self._leader, message)[0])
         elif isinstance(message, m.DurablePositions):
             moved = 0
-            for place in message.places:
+            for place in message.positions:
                 held = self._held[place.shard]
                 before = held.durable
                 shard_log.on_durable(held, place, 0.0)
--- a/libs/simulation/src/simulation/model/history.py
+++ b/libs/simulation/src/simulation/model/history.py
@@ -121,14 +121,14 @@
     def on_client(self, world, replica, message):
         self.written = ""
         if isinstance(message, DurablePositions):
-            for place in message.places:
+            for place in message.positions:
                 for first in range(1, place.position + 1):
                     if (replica.identity, first) in self.sent:
                         self.told[first] = self.sent[replica.identity, first]
             self.asked = True
         if isinstance(message, FreshnessMark) and message.sent_ms in self.reads:
-            if message.place < self.reads.pop(message.sent_ms):
-                self.broken("reads-current", f"{replica.identity} answers {message.place}")
+            if message.position < self.reads.pop(message.sent_ms):
+                self.broken("reads-current", f"{replica.identity} answers {message.position}")
 
     def _answers(self):
         """Each record told durable stands at its place in the committed entries."""
--- a/libs/simulation/src/simulation/sim/world.py
+++ b/libs/simulation/src/simulation/sim/world.py
@@ -224,7 +224,7 @@
         elif isinstance(effect, Finished):
             kill(world, host)
         elif isinstance(effect, LogLine):
-            host.notes.append((world.now_ms, effect.what, effect.facts))
+            host.notes.append((world.now_ms, effect.event, effect.facts))
 
 
 def _sync(world, host, effect, rest, life):
--- a/libs/transport/src/transport/__init__.py
+++ b/libs/transport/src/transport/__init__.py
@@ -1,3 +1,7 @@
-"""Frames, messages, failures and the words cores and shells share."""
+"""Messages between processes, their encoding and connections, and the types that all parts share.
+
+`events` and `effects` are the input and output of the state machines, `failures` the typed
+errors.
+"""
 
 __all__ = ["codec", "effects", "events", "failures", "frames", "messages"]
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -237,13 +237,13 @@
 
     def _take(self, reader, data):
         """Hand on whole messages; False if this connection is to be closed."""
-        found, broken = frames.feed(reader.intake, data)
+        found, broken = frames.receive(reader.intake, data)
         for message in found:
             if not reader.sender:
                 if not isinstance(message, Gossip):
                     self._on_note("connection-rude", {"kind": type(message).__name__})
                     return False
-                reader.sender = message.card.address
+                reader.sender = message.sender.address
             self._on_message(reader.sender, message)
         if broken:
             self._on_note("connection-broken", {"from": reader.sender, "cause": broken.cause})
--- a/libs/transport/src/transport/effects.py
+++ b/libs/transport/src/transport/effects.py
@@ -1,8 +1,8 @@
-"""What a state machine asks of the shell around it.
+"""Effects: the output of the state machines.
 
-Cores return lists of these; the shell (a process, or the simulator) carries
-them out in order.  `Save` and `Install` are synced before anything after
-them in the same list is done, so a promise is on disk before it is told.
+State machines return lists of effects; the process around them, or the simulator, carries
+them out in order.  `Save` and `Install` are synced to disk before any later effect of the same
+list is carried out, so that a vote, for example, is on disk before it is sent.
 """
 
 from dataclasses import dataclass, field
@@ -23,13 +23,15 @@
 
 @dataclass(frozen=True)
 class Send:
+    """Send a message to the node at the address `to`; it may get lost."""
+
     to: str
     message: object
 
 
 @dataclass(frozen=True)
 class Save:
-    """Write a named state file as a new version, synced."""
+    """Replace the named state file by a new version, synced."""
 
     name: str
     body: bytes
@@ -37,7 +39,10 @@
 
 @dataclass(frozen=True)
 class Install:
-    """Replace the log: a snapshot at `index`, everything before it dropped."""
+    """Write a snapshot at log index `index` and drop the log up to it.
+
+    `restart`: drop the log after it too, since it may differ from the leader's.
+    """
 
     index: int
     body: bytes
@@ -46,7 +51,11 @@
 
 @dataclass(frozen=True)
 class Write:
-    """Append entries to the log; answer with a Written event once synced."""
+    """Append entries to the log; a Written event follows once they are synced.
+
+    `inline`: write before the next effect instead of in the background.  `known`: the index up
+    to which the log is known to be synced; it is stored beside each entry.
+    """
 
     entries: tuple
     inline: bool = False
@@ -55,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Answer a local asker (an HTTP thread, a test) waiting on `token`."""
+    """Answer the LocalRequest with this `token` (from an HTTP thread, a test)."""
 
     token: str
     outcome: object
@@ -63,7 +72,7 @@
 
 @dataclass(frozen=True)
 class EngineCall:
-    """Call an engine, unless it is too late to; answer with a CallEnded event."""
+    """Call an engine unless `not_after_ms` has passed; a CallEnded event follows."""
 
     id: str
     engine: str
@@ -76,25 +85,27 @@
 
 @dataclass(frozen=True)
 class Wake:
+    """Deliver a Tick at this time, besides the regular ones."""
+
     at_ms: float
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """A line for the ring; an urgent one is written out at once."""
+    """A line for the log ring; an urgent one is written out at once."""
 
-    what: str
+    event: str
     facts: dict = field(default_factory=dict)
     urgent: bool = False
 
 
 @dataclass(frozen=True)
 class DumpLog:
-    """Something went wrong: write the ring out."""
+    """Something failed: write the log ring out."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
 class Finished:
-    """An orderly stop is complete: the process may end."""
+    """The orderly shutdown is complete: the process may exit."""
--- a/libs/transport/src/transport/events.py
+++ b/libs/transport/src/transport/events.py
@@ -1,4 +1,7 @@
-"""What a shell tells a state machine: the only way in."""
+"""Events: the only input of the state machines.
+
+The process around a state machine, or the simulator, turns whatever happens into events.
+"""
 
 from dataclasses import dataclass, field
 
@@ -7,18 +10,22 @@
 
 @dataclass(frozen=True)
 class Received:
+    """A message arrived from the node at the address `sender`."""
+
     sender: str
     message: object
 
 
 @dataclass(frozen=True)
 class Tick:
+    """Time has passed: timers may be due."""
+
     pass
 
 
 @dataclass(frozen=True)
 class Written:
-    """Every entry up to `index` of `term` is synced here; the write took took_ms."""
+    """Log entries up to `index`, of `term`, are synced to disk; the write took `took_ms`."""
 
     index: int
     term: int
@@ -27,19 +34,23 @@
 
 @dataclass(frozen=True)
 class CallEnded:
-    """An engine call ended: `code` 0 means no answer, `begun` that bytes left, `kept` that
-    the connection had carried other calls before."""
+    """An engine call ended; `code` is the HTTP status, 0 if there was no response.
+
+    `request_sent`: bytes of the request were sent, so that the engine may have acted on it.
+    `reused_connection`: the connection had carried calls before.
+    """
 
     id: str
     code: int
     body: dict = field(default_factory=dict)
-    begun: bool = True
-    kept: bool = False
+    request_sent: bool = True
+    reused_connection: bool = False
 
 
 @dataclass(frozen=True)
 class LocalRequest:
-    """A local asker wants something; it waits on `token`."""
+    """A request from within the process, such as an HTTP thread's; it is answered by a Reply
+    with the same `token`."""
 
     token: str
     verb: str
@@ -48,4 +59,6 @@
 
 @dataclass(frozen=True)
 class Shutdown:
+    """The process is to stop in an orderly way; the state machine ends with Finished."""
+
     pass
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -40,7 +40,7 @@
     "DiskUntrusted",
     "MajorityLost",
     "CoreBroke",
-    "RefusedBefore",
+    "EarlierRefusal",
     "AddressTaken",
     "Unreachable",
     "as_json",
@@ -233,11 +233,11 @@
 
 
 @dataclass(frozen=True)
-class RefusedBefore(Failure):
+class EarlierRefusal(Failure):
     """The answer a change got when it was first refused, told again."""
 
     status: int = 409
-    told: dict = dataclasses.field(default_factory=dict)
+    body: dict = dataclasses.field(default_factory=dict)
 
 
 @_kind("core-broke", 500)
@@ -259,8 +259,8 @@
 
 
 def as_json(failure):
-    if isinstance(failure, RefusedBefore):
-        return {**failure.told, "again": True}
+    if isinstance(failure, EarlierRefusal):
+        return {**failure.body, "again": True}
     return {"failure": failure.tag, **dataclasses.asdict(failure)}
 
 
--- a/libs/transport/src/transport/frames.py
+++ b/libs/transport/src/transport/frames.py
@@ -1,10 +1,9 @@
-"""Frames on a connection.
+"""Frames on a connection between processes.
 
-A frame is a fixed header (magic, form, kind, size, checksum) and a body that
-`codec` understands, compressed if it is long and that makes it shorter.  `feed`
-takes whatever bytes arrived and gives back the whole messages among them; a broken
-frame is a typed failure, and the connection that carried it is closed by the
-caller, nothing else.
+A frame is a fixed header (magic, kind, size, checksum) and a body encoded by `codec`, which is
+compressed if it is long and becomes shorter by it.  `receive` takes whatever bytes have arrived
+and returns the complete messages among them.  An invalid frame is returned as a BrokenFrame;
+the caller then closes the connection, which has no other consequence.
 """
 
 import dataclasses
@@ -13,28 +12,34 @@
 
 from transport import codec, compression, messages
 
-__all__ = ["FrameBuffer", "BrokenFrame", "pack", "feed", "LIMIT_BYTES"]
+__all__ = ["FrameBuffer", "BrokenFrame", "pack", "receive", "LIMIT_BYTES"]
 
 LIMIT_BYTES = 32 << 20
 _MAGIC = b"PHW1"
 _HEADER = struct.Struct(">4sHII")
-# Set in a frame's kind if its body is compressed.
+# This bit of a frame's kind is set if the body is compressed.
 _COMPRESSED = 1 << 15
 
 
 @dataclasses.dataclass(frozen=True)
 class BrokenFrame:
-    """A frame that cannot be trusted; `cause` is one of a closed set."""
+    """An invalid frame.
+
+    `cause` is "magic", "oversized", "kind" (an unknown message), "checksum" or "body".
+    """
 
     cause: str
 
 
 @dataclasses.dataclass
 class FrameBuffer:
-    waiting: bytearray = dataclasses.field(default_factory=bytearray)
+    """The bytes of a connection that are not yet a complete frame."""
+
+    pending: bytearray = dataclasses.field(default_factory=bytearray)
 
 
 def pack(message):
+    """The bytes of the frame that carries a message."""
     body = codec.to_bytes(message)
     kind = messages.KIND_OF[type(message)]
     shorter = compression.compress(body)
@@ -43,12 +48,12 @@
     return _HEADER.pack(_MAGIC, kind, len(body), zlib.crc32(body)) + body
 
 
-def feed(intake, data):
-    """Return (messages, BrokenFrame or None)."""
-    intake.waiting += data
+def receive(buffer, data):
+    """Add received bytes to a FrameBuffer; returns (complete messages, BrokenFrame or None)."""
+    buffer.pending += data
     found = []
-    while len(intake.waiting) >= _HEADER.size:
-        magic, kind, size, crc = _HEADER.unpack_from(intake.waiting)
+    while len(buffer.pending) >= _HEADER.size:
+        magic, kind, size, crc = _HEADER.unpack_from(buffer.pending)
         if magic != _MAGIC:
             return found, BrokenFrame("magic")
         if size > LIMIT_BYTES:
@@ -57,9 +62,9 @@
         if known is None:
             return found, BrokenFrame("kind")
         end = _HEADER.size + size
-        if len(intake.waiting) < end:
+        if len(buffer.pending) < end:
             break
-        body = bytes(intake.waiting[_HEADER.size : end])
+        body = bytes(buffer.pending[_HEADER.size : end])
         if zlib.crc32(body) != crc:
             return found, BrokenFrame("checksum")
         try:
@@ -68,5 +73,5 @@
             found.append(codec.from_bytes(known, body))
         except (codec.DecodeError, compression.DecompressionError):
             return found, BrokenFrame("body")
-        del intake.waiting[:end]
+        del buffer.pending[:end]
     return found, None
--- a/libs/transport/src/transport/log_ring.py
+++ b/libs/transport/src/transport/log_ring.py
@@ -1,7 +1,7 @@
-"""The log ring: the last lines in memory, written out when something fails.
+"""The log ring: the latest log lines in memory, written out when something fails.
 
-Lines are kept as plain dictionaries and only become JSON, through
-python-json-logger, when a dump is asked for or when a line is urgent.
+Lines are kept as plain dictionaries.  They are turned into JSON by python-json-logger when
+the ring is dumped, or at once if a line is urgent.
 """
 
 import collections
@@ -16,7 +16,7 @@
 
 
 class LogRing:
-    """`note` is the one public method; `why` makes it write the ring out."""
+    """Holds the last `size` lines of a node; `stream` is stderr by default."""
 
     def __init__(self, node, size=2000, stream=None):
         self._lines = collections.deque(maxlen=size)
@@ -27,21 +27,22 @@
         self._logger.addHandler(handler)
         self._node = node
 
-    def note(self, what, facts=None, why=None, urgent=False):
+    def log(self, event, facts=None, dump_reason=None, urgent=False):
+        """Add a line; write it out if it is urgent, or the whole ring given a `dump_reason`."""
         line = {
             "atMs": round(time.monotonic() * 1000),
             "node": self._node,
-            "what": what,
+            "what": event,
             **(facts or {}),
         }
         with self._lock:
             self._lines.append(line)
-            if why is None:
+            if dump_reason is None:
                 if urgent:
-                    self._logger.info("%s", what, extra={"facts": line})
+                    self._logger.info("%s", event, extra={"facts": line})
                 return
-            lines, head = list(self._lines), {"why": why, "lines": len(self._lines)}
+            lines, head = list(self._lines), {"why": dump_reason, "lines": len(self._lines)}
             self._lines.clear()
         self._logger.error("ring", extra={"dump": head})
-        for old in lines:
-            self._logger.info(old["what"], extra={"facts": old})
+        for kept in lines:
+            self._logger.info(kept["what"], extra={"facts": kept})
--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -1,7 +1,11 @@
-"""What our processes say to each other.
+"""Messages between the processes of a deployment.
 
-All are plain dataclasses; the number of a message on the wire is its place
-in `_ALL`, so new messages are only ever added at the end.
+A process has one of two roles: a depot keeps a replica of the log, a counter routes requests.
+Depots form one Raft group; counters follow the committed log (the feed) and hold the leases of
+shards, whose records they append to it.
+
+Messages are plain dataclasses, encoded by `codec` in the order of their fields.  A message's
+number on the wire is its position in `_ALL`, from 1, so new messages are added at its end only.
 """
 
 from dataclasses import dataclass
@@ -34,7 +38,12 @@
 
 @dataclass(frozen=True)
 class NodeInfo:
-    """Who a process is and where it is reached."""
+    """Name, role, zone and addresses of a process.
+
+    `address` serves the connections between processes, `http` the HTTP requests.
+    `incarnation` is new at each start; `identity` is that of a depot's data folder.  `empty`:
+    a depot that has no log yet and may be a founding member.
+    """
 
     name: str
     role: str
@@ -47,8 +56,14 @@
 
 
 @dataclass(frozen=True)
-class GroupInfo:
-    """The depots' membership as somebody knows it; the highest term wins."""
+class GroupCard:
+    """The Raft group's members and leader as the sender knows them.
+
+    `stamp` is the log index of the newest membership entry.  Receivers keep the information
+    with the highest term and, within a term, the highest stamp.  `Gossip.group_digest` is a
+    checksum of the repr, so the names of this class, of Member and of their fields are part of
+    the protocol.
+    """
 
     group: str
     term: int
@@ -59,65 +74,84 @@
 
 @dataclass(frozen=True)
 class Gossip:
-    """`digest` and `names` tell in short which cards, and which names, the sender
-    knows, its own included.  `silent`: how long each node has not been heard of by
-    anyone, a byte each: of all names in order to one who is known to know the same,
-    of `cards` to another.  `ages`: how long ago each of `cards` was first met.  `group`: the
-    depots' membership, empty to one who has told the same `group_digest`."""
-
-    card: NodeInfo
-    answer: bool
-    cards: tuple[NodeInfo, ...]
-    group: GroupInfo
-    silent: bytes = b""
+    """What the sender knows of all nodes; also the first message on every connection.
+
+    `nodes` holds the nodes that the receiver may not know.  `digest` and `names_digest` are
+    hashes of the NodeInfos and of the names that the sender knows, its own included.
+    `silence`: for each node, the time since any node last had contact with it, one byte each;
+    in the order of all sorted names if the receiver is known to have the same `names_digest`,
+    else in the order of `nodes`.  `ages`: milliseconds since the sender first learned of each
+    of `nodes`.  `group` is empty if the receiver's last `group_digest` was the same.
+    """
+
+    sender: NodeInfo
+    wants_reply: bool
+    nodes: tuple[NodeInfo, ...]
+    group: GroupCard
+    silence: bytes = b""
     digest: int = 0
-    names: int = 0
+    names_digest: int = 0
     ages: tuple[int, ...] = ()
     group_digest: int = 0
 
 
 @dataclass(frozen=True)
 class FeedRequest:
-    """A node's ping: who asks, from which place it follows, when it sent this, and
-    when it sent the last one whose answer reached it."""
+    """A follower's periodic ping and request for log entries after `position`.
+
+    `answered_sent_ms` is the `sent_ms` of the latest request of this node that was answered,
+    by the node's own clock.
+    """
 
     name: str
     address: str
     incarnation: str
     role: str
     sent_ms: float
-    place: int
-    answered_ms: float = -1.0
+    position: int
+    answered_sent_ms: float = -1.0
 
 
 @dataclass(frozen=True)
 class FreshnessMark:
-    """All up to `place` was current when the ask was sent; a majority said so."""
+    """Confirmation that `position` was the commit index at some time after `sent_ms`.
+
+    `sent_ms` is copied from the FeedRequest.  `direct`: sent by the leader, after a majority
+    has confirmed its leadership, and not passed on by another follower.
+    """
 
     sent_ms: float
     term: int
-    place: int
+    position: int
     direct: bool
 
 
 @dataclass(frozen=True)
 class FeedEntries:
+    """Committed log entries for a follower; `position` is the index of the last one."""
+
     term: int
-    place: int
+    position: int
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class FeedSnapshot:
+    """The replicated state at log index `position`; travels as FeedChunks, never as a whole."""
+
     term: int
-    place: int
+    position: int
     snapshot_term: int
     body: bytes
 
 
 @dataclass(frozen=True)
 class BatchSection:
-    """One shard's records inside a batch."""
+    """Records of one shard inside a batch.
+
+    `kind` is one of the kinds in `replication.state_machine`; `first` is the position of the
+    first record within the shard, from 1.
+    """
 
     shard: int
     epoch: int
@@ -128,6 +162,8 @@
 
 @dataclass(frozen=True)
 class ShardAppend:
+    """A lease holder asks the leader to append records of its shard to the log."""
+
     name: str
     incarnation: str
     section: BatchSection
@@ -135,6 +171,8 @@
 
 @dataclass(frozen=True)
 class ShardPosition:
+    """All records of a shard up to `position` are committed under this epoch of its lease."""
+
     shard: int
     epoch: int
     position: int
@@ -142,13 +180,19 @@
 
 @dataclass(frozen=True)
 class DurablePositions:
+    """The leader tells a lease holder up to which records its shards are committed."""
+
     term: int
-    places: tuple[ShardPosition, ...]
+    positions: tuple[ShardPosition, ...]
 
 
 @dataclass(frozen=True)
 class AppendRefused:
-    """A leader doesn't take a section; `term` is the leader's."""
+    """The leader rejects a BatchSection; `cause` is "epoch" or "place" (a gap before `first`).
+
+    `expected` is the epoch or the position that the leader would have accepted; `term` is the
+    leader's.
+    """
 
     shard: int
     epoch: int
@@ -159,6 +203,8 @@
 
 @dataclass(frozen=True)
 class RecoveryRequest:
+    """The holder of a new lease asks the leader for its shard's checkpoint and records."""
+
     shard: int
     epoch: int
     address: str
@@ -167,7 +213,7 @@
 
 @dataclass(frozen=True)
 class LeaseRelease:
-    """An orderly holder gives its lease back and names who should follow."""
+    """A holder that shuts down gives its lease back and proposes the next holder."""
 
     name: str
     shard: int
@@ -177,7 +223,10 @@
 
 @dataclass(frozen=True)
 class ShardCommand:
-    """An operator's or a router's wish for the holder of a shard."""
+    """A request of an operator or a router, forwarded to the lease holder of a shard.
+
+    `address` is where the reply goes; `body` is JSON.
+    """
 
     id: str
     shard: int
@@ -188,6 +237,8 @@
 
 @dataclass(frozen=True)
 class ShardCommandReply:
+    """The holder's reply: an HTTP status and a JSON body."""
+
     id: str
     status: int
     body: bytes
@@ -195,7 +246,7 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """The body of a log entry: the sections that were written together."""
+    """The body of a log entry: sections of several shards, written together."""
 
     sections: tuple[BatchSection, ...]
 
--- a/libs/transport/src/transport/quota_messages.py
+++ b/libs/transport/src/transport/quota_messages.py
@@ -1,4 +1,8 @@
-"""How tenants' tokens are asked for and given out, in few bytes."""
+"""Requests of counters for rate-limit tokens of tenants, and the depots' replies.
+
+Each depot keeps token buckets for its share of every tenant's rate limit; counters take tokens
+from them in advance and spend them on requests.
+"""
 
 from dataclasses import dataclass
 
@@ -7,8 +11,11 @@
 
 @dataclass(frozen=True)
 class TokenDemand:
-    """Tokens for a tenant: `needed` by requests that wait, `ahead` for those to come.  The
-    limit is that of the configuration's `version` which the asker follows."""
+    """Tokens wanted for a tenant: `needed` for requests that wait now, `ahead` for later ones.
+
+    `ratePerS` and `burst` are the tenant's limit in the configuration of this `version`, which
+    the requesting node follows.
+    """
 
     tenant: str
     version: int
@@ -20,15 +27,22 @@
 
 @dataclass(frozen=True)
 class QuotaRequest:
-    """`number` is the asker's own; without wants it only asks whether the depot gives any."""
+    """A request for tokens of several tenants.
+
+    `number` is chosen by the requesting node and copied into the reply.  Without demands the
+    request only asks whether the depot hands out tokens at all.
+    """
 
     number: int
-    wants: tuple[TokenDemand, ...]
+    demands: tuple[TokenDemand, ...]
 
 
 @dataclass(frozen=True)
 class TokenGrant:
-    """`left` are in the bucket still; `wait_ms`: when to come back if too few were given."""
+    """The reply to one demand: `given` tokens, with `left` still in the depot's bucket.
+
+    `wait_ms`: the delay after which to ask again if fewer were given than needed.
+    """
 
     given: int
     left: float
@@ -37,7 +51,10 @@
 
 @dataclass(frozen=True)
 class QuotaReply:
-    """The answer to an ask, in the order of its wants; none if the depot may not give any."""
+    """The reply to a QuotaRequest, in the order of its demands.
+
+    `granting` is false, and `given` empty, while the depot may not hand out tokens.
+    """
 
     number: int
     granting: bool
--- a/libs/transport/src/transport/rendezvous.py
+++ b/libs/transport/src/transport/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which of several names a key would rather have."""
+"""Rendezvous hashing: choosing one of several names for a key, stable as names come and go."""
 
 import hashlib
 
@@ -6,5 +6,5 @@
 
 
 def weight(key, name):
-    """The name with the greatest weight for a key is the key's."""
+    """The weight of a name for a key; the name with the greatest weight is chosen."""
     return hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
--- a/libs/transport/src/transport/replication_messages.py
+++ b/libs/transport/src/transport/replication_messages.py
@@ -1,4 +1,4 @@
-"""What depots say to one another to keep one log between them."""
+"""Messages of the Raft group: the depots that replicate the log."""
 
 from dataclasses import dataclass
 
@@ -20,6 +20,11 @@
 
 @dataclass(frozen=True)
 class Member:
+    """A member of the Raft group.
+
+    Its field names are written to the log, and its repr is part of a checksum in Gossip.
+    """
+
     name: str
     identity: str
     address: str
@@ -27,12 +32,16 @@
 
 @dataclass(frozen=True)
 class BootstrapRequest:
+    """Asks a depot to agree to the founding of a group with these members."""
+
     group: str
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True)
 class BootstrapReply:
+    """Whether the depot agrees to the founding of this group."""
+
     group: str
     identity: str
     agreed: bool
@@ -40,6 +49,12 @@
 
 @dataclass(frozen=True)
 class VoteRequest:
+    """Raft's RequestVote.
+
+    `named`: the leader chose this candidate (TransferLeadership), so voters answer although
+    they know a live leader.
+    """
+
     group: str
     term: int
     identity: str
@@ -51,6 +66,8 @@
 
 @dataclass(frozen=True)
 class VoteReply:
+    """The answer to a VoteRequest of the same `pre_vote`."""
+
     term: int
     identity: str
     granted: bool
@@ -59,6 +76,8 @@
 
 @dataclass(frozen=True)
 class Entry:
+    """A log entry; `body` is an encoded `messages.Batch`."""
+
     index: int
     term: int
     body: bytes
@@ -66,6 +85,12 @@
 
 @dataclass(frozen=True)
 class AppendEntries:
+    """Raft's AppendEntries; without entries, a heartbeat.
+
+    `to` is the identity of the receiver, `round` the number of the leader's latest heartbeat
+    round, by whose replies reads are confirmed.
+    """
+
     group: str
     term: int
     identity: str
@@ -80,6 +105,12 @@
 
 @dataclass(frozen=True)
 class AppendReply:
+    """The answer to AppendEntries.
+
+    If `agreed`, the follower's synced log matches the leader's up to `index`; if not, the
+    leader should retry from `index`.
+    """
+
     term: int
     identity: str
     name: str
@@ -91,6 +122,8 @@
 
 @dataclass(frozen=True)
 class SnapshotPart:
+    """A received snapshot, put together from its ReplicaChunks; never sent as a whole."""
+
     group: str
     term: int
     identity: str
@@ -103,14 +136,14 @@
 
 @dataclass(frozen=True)
 class TransferLeadership:
-    """The leader asks its named successor to ask for votes at once."""
+    """The leader tells the member that should follow it to start an election at once."""
 
     term: int
 
 
 @dataclass(frozen=True)
 class LeaveRequest:
-    """A member that is to end asks the leader whether it may, until it is answered."""
+    """A member that shuts down asks the leader for permission, repeatedly until it is answered."""
 
     group: str
     identity: str
@@ -118,7 +151,7 @@
 
 @dataclass(frozen=True)
 class LeaveReply:
-    """The member may end: it was `removed`, or the others do without it for a while."""
+    """The member may shut down: it was `removed`, or the others keep a majority without it."""
 
     group: str
     identity: str
--- a/libs/transport/src/transport/transfer_messages.py
+++ b/libs/transport/src/transport/transfer_messages.py
@@ -1,4 +1,4 @@
-"""How a snapshot travels in chunks: between replicas, to followers, to a shard's holder."""
+"""Snapshots sent in chunks: to replicas of the log, to followers, to a shard's lease holder."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class SnapshotId:
-    """Two snapshots with the same id have the same bytes, whoever sends them."""
+    """Identifies a snapshot: two snapshots with the same id have the same bytes."""
 
     index: int
     term: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Chunk:
-    """Bytes of a snapshot from `offset` on; empty if the sender only asks what is held."""
+    """Bytes of a snapshot from `offset`; empty if the sender only asks for an acknowledgement."""
 
     snapshot: SnapshotId
     sequence: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class ChunkAck:
-    """How many bytes from the start the receiver held after the chunk `sequence`."""
+    """The receiver had `held` contiguous bytes from the start after the chunk `sequence`."""
 
     snapshot: SnapshotId
     sequence: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ReplicaChunk:
-    """A leader brings a replica up whose log ends before the leader's begins."""
+    """A chunk of the leader's snapshot, for a replica whose log ends before the leader's begins."""
 
     group: str
     term: int
@@ -59,6 +59,8 @@
 
 @dataclass(frozen=True)
 class ReplicaChunkReply:
+    """A replica's acknowledgement of a ReplicaChunk."""
+
     term: int
     identity: str
     address: str
@@ -68,7 +70,7 @@
 
 @dataclass(frozen=True)
 class FeedChunk:
-    """The state for a follower whose place the feed's entries no longer reach."""
+    """A chunk of the state, for a follower whose position is older than the oldest kept entry."""
 
     term: int
     chunk: Chunk
@@ -76,13 +78,15 @@
 
 @dataclass(frozen=True)
 class FeedChunkReply:
+    """A follower's acknowledgement of a FeedChunk."""
+
     name: str
     ack: ChunkAck
 
 
 @dataclass(frozen=True)
 class ShardChunk:
-    """A shard's checkpoint and records, for the holder of a new lease."""
+    """A chunk of a shard's checkpoint and records, for the holder of a new lease."""
 
     shard: int
     epoch: int
@@ -91,6 +95,8 @@
 
 @dataclass(frozen=True)
 class ShardChunkReply:
+    """A lease holder's acknowledgement of a ShardChunk."""
+
     shard: int
     epoch: int
     ack: ChunkAck
--- a/tests/test_answers_kept.py
+++ b/tests/test_answers_kept.py
@@ -47,8 +47,8 @@
         self.assertThat(len(registries.dump(self.registry)), LessThan(100_000))
         _, _, again = self.send("c59", told, 1)
         self.assertThat(again.status, Equals(422))
-        self.assertThat(again.told["failure"], Equals("layout-wrong"))
-        self.assertThat(len(again.told["fields"]), GreaterThan(0))
+        self.assertThat(again.body["failure"], Equals("layout-wrong"))
+        self.assertThat(len(again.body["fields"]), GreaterThan(0))
 
     def test_many_short_answers_are_all_kept(self):
         for number in range(answers.KEPT + 50):
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -5,9 +5,9 @@
 from membership import greetings, peer_table
 from transport import frames
 from transport.effects import Send
-from transport.messages import GroupInfo, NodeInfo
+from transport.messages import GroupCard, NodeInfo
 
-GROUP = GroupInfo("g", 1, 1, "10.0.0.0:1", ())
+GROUP = GroupCard("g", 1, 1, "10.0.0.0:1", ())
 
 
 def card(number, life="1"):
@@ -37,7 +37,7 @@
                 one.alive_ms[card(n).name] = one.heard_ms[card(n).name] = now_ms
     told = greetings.greeting(found["10.0.0.0:1"], False, now_ms)
     for one in found.values():
-        one.digests = {a: (told.digest, told.names) for a in found}
+        one.digests = {a: (told.digest, told.names_digest) for a in found}
     return found
 
 
@@ -63,7 +63,7 @@
 def test_no_cards_go_to_one_who_knows_them_all():
     found = acquainted(20, 1e6)
     sent = turns(found, 1e6, 4000)
-    assert sent and not any(m.cards for m in sent)
+    assert sent and not any(m.nodes for m in sent)
     assert max(len(frames.pack(m)) for m in sent) < 200
 
 
@@ -72,12 +72,12 @@
     found["10.0.0.7:1"] = circle_of(7, "2", ["10.0.0.1:1"])
     sent = turns(found, 1e6, 9000)
     assert {c.cards["n007"].incarnation for c in found.values() if "n007" in c.cards} == {"7.2"}
-    newcomer = [m for m in sent if m.card.incarnation == "7.2" or len(m.cards) > 2]
+    newcomer = [m for m in sent if m.sender.incarnation == "7.2" or len(m.nodes) > 2]
     assert len(newcomer) < 0.25 * len(sent)
     later = turns(found, 1e6 + 9000, 16000)
-    assert max(len(m.cards) for m in later if m.card.incarnation != "7.2") <= 1
+    assert max(len(m.nodes) for m in later if m.sender.incarnation != "7.2") <= 1
     settled = turns(found, 1e6 + 25000, 20000)
-    assert sum(bool(m.cards) for m in settled) < 0.001 * len(settled)
+    assert sum(bool(m.nodes) for m in settled) < 0.001 * len(settled)
 
 
 def test_hearsay_of_an_earlier_life_is_not_believed():
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -20,7 +20,7 @@
     str: c.PascalString(c.VarInt, "utf8"),
     bytes: c.Prefixed(c.VarInt, c.GreedyBytes),
 }
-NO_GROUP = messages.GroupInfo("", 0, 0, "", ())
+NO_GROUP = messages.GroupCard("", 0, 0, "", ())
 VALUES = {
     int: st.integers(-(2**63), 2**63 - 1),
     float: st.floats(allow_nan=False),
@@ -141,5 +141,5 @@
 def test_records_that_are_written_again_keep_their_own_bytes(cards):
     greet = functools.partial(messages.Gossip, messages.NodeInfo(*[""] * 6), False, group=NO_GROUP)
     for _ in range(2):
-        value = greet(cards=tuple(cards))
+        value = greet(nodes=tuple(cards))
         assert codec.to_bytes(value) == layout(messages.Gossip).build(as_construct(value))
--- a/tests/test_compression.py
+++ b/tests/test_compression.py
@@ -32,7 +32,7 @@
     data = frames.pack(news(count))
     intake, found = frames.FrameBuffer(), []
     for at in range(0, len(data), 1000):
-        messages, broken = frames.feed(intake, data[at : at + 1000])
+        messages, broken = frames.receive(intake, data[at : at + 1000])
         assert broken is None
         found += messages
     assert found == [news(count)]
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -54,7 +54,7 @@
                 took_ms = self.flush_ms * (0.9 + 0.2 * self.rng.random())
                 self.at(took_ms, "written", effect.entries[-1], took_ms)
             elif isinstance(effect, Send) and isinstance(effect.message, DurablePositions):
-                for place in effect.message.places:
+                for place in effect.message.positions:
                     assert place.position > self.durable.get(place.shard, 0)
                     self.durable[place.shard] = place.position
                     self.at(
--- a/tests/test_greeting_size.py
+++ b/tests/test_greeting_size.py
@@ -5,11 +5,11 @@
 from membership import greetings
 from test_circle import acquainted, circle_of, turns
 from transport import frames
-from transport.messages import GroupInfo, Member
+from transport.messages import GroupCard, Member
 
 MEMBERS = tuple(Member(f"{n:032x}", f"depot-{n}", f"10.0.1.{n}:7660") for n in range(5))
-GROUP = GroupInfo("g", 3, 7, "10.0.1.1:7660", MEMBERS)
-NEWER = GroupInfo("g", 4, 7, "10.0.1.2:7660", MEMBERS)
+GROUP = GroupCard("g", 3, 7, "10.0.1.1:7660", MEMBERS)
+NEWER = GroupCard("g", 4, 7, "10.0.1.2:7660", MEMBERS)
 
 
 def settled(count):
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -168,7 +168,7 @@
         self.assertThat(self.do("engines", same), Equals({"stamp": 1, "same": True, "again": True}))
         again = self.do("zone", refused)
         self.assertThat(
-            again, Equals(failures.RefusedBefore(first.status, failures.as_json(first)))
+            again, Equals(failures.EarlierRefusal(first.status, failures.as_json(first)))
         )
         self.assertThat((self.reg.engines, self.reg.zones, self.reg.stamp), Equals(before))
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -303,7 +303,7 @@
 
 
 def changes(effects):
-    return [e.what for e in effects if isinstance(e, LogLine) and e.what.startswith("member-")]
+    return [e.event for e in effects if isinstance(e, LogLine) and e.event.startswith("member-")]
 
 
 def test_a_learner_under_steady_writes_is_taken_in():
--- a/tests/test_order_notes.py
+++ b/tests/test_order_notes.py
@@ -12,7 +12,7 @@
 
 class Lines(test_platform_again.OrdersHarness):
     def lines(self):
-        return [(note.what, note.facts) for note in order_notes.drain(self.p)]
+        return [(note.event, note.facts) for note in order_notes.drain(self.p)]
 
     def test_an_order_tells_its_count_and_what_is_charged_beside_it(self):
         self.lines()
@@ -34,7 +34,7 @@
             TERMS,
         )
         (note,) = [n for n in notes if isinstance(n, LogLine)]
-        self.assertThat((note.what, note.urgent), Equals(("order-answered", True)))
+        self.assertThat((note.event, note.urgent), Equals(("order-answered", True)))
         self.assertThat((note.facts["code"], note.facts["kept"]), Equals((202, True)))
         self.assertThat(self.lines(), Equals([]))
 
@@ -62,7 +62,7 @@
         for item in floor.items:
             floor.ask(item)
         floor.run(5, lambda rng: None)
-        told = [e.facts for e in seen if isinstance(e, LogLine) and e.what == "waiting"]
+        told = [e.facts for e in seen if isinstance(e, LogLine) and e.event == "waiting"]
         self.assertThat(len(told), Equals(5))
         self.assertThat(told[0]["missing"], GreaterThan(0))
         self.assertThat(list(told[0]["heldUp"]), Contains("engine busy"))
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -52,7 +52,7 @@
         _, asks = spending.advance(state, 0.0)
         self.assertThat(len(asks), Equals(1))
         self.assertThat(
-            [(w.tenant, w.needed) for w in asks[0].ask.wants], Equals([("a", 2), ("b", 1)])
+            [(w.tenant, w.needed) for w in asks[0].ask.demands], Equals([("a", 2), ("b", 1)])
         )
         self.assertThat(spending.advance(state, 1.0), Equals(([], [])))
 
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from membership import greetings, peer_table
-from transport.messages import Gossip, GroupInfo, NodeInfo
+from transport.messages import Gossip, GroupCard, NodeInfo
 
-GROUP = GroupInfo("g", 1, 1, "10.0.0.0:1", ())
+GROUP = GroupCard("g", 1, 1, "10.0.0.0:1", ())
 LOST_MS, GOSSIP_MS = 3000.0, 360.0
 NAMES = [f"n{number}" for number in range(8)]
 OWN = "n9"
@@ -88,7 +88,7 @@
             peers.card = NodeInfo(**{**vars(card), "name": OWN})
         assert peer_table.digest(peers) == plain_digest(peers)
         assert peer_table.watched(peers) == plain_watched(peers)
-        assert greetings.greeting(peers, True, 5.0).names == plain_names(peers)
+        assert greetings.greeting(peers, True, 5.0).names_digest == plain_names(peers)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -103,7 +103,7 @@
     peers.cards, peers.alive_ms = {card.name: card for card in known}, alive_ms
     peers.digests["to"] = (1, plain_names(peers) if alike else -1)
     names = sorted([*peers.cards, OWN]) if alike else list(peers.cards)
-    told = greetings.greeting(peers, True, now_ms, "to").silent
+    told = greetings.greeting(peers, True, now_ms, "to").silence
     assert told == bytes(plain_silence(peers, now_ms, name) for name in names)
 
 
--- a/tests/test_waybill.py
+++ b/tests/test_waybill.py
@@ -17,7 +17,7 @@
 from transport.messages import LeaseRelease
 
 CARD = messages.NodeInfo("n", "counter", "z", "127.0.0.1:1", "127.0.0.1:2", "i")
-HELLO = messages.Gossip(CARD, False, (), messages.GroupInfo("", 0, 0, "", ()))
+HELLO = messages.Gossip(CARD, False, (), messages.GroupCard("", 0, 0, "", ()))
 
 
 def made_up(kind, rng):
@@ -45,7 +45,7 @@
         intake, got = frames.FrameBuffer(), []
         while data:
             size = rng.randrange(1, 900)
-            found, broken = frames.feed(intake, data[:size])
+            found, broken = frames.receive(intake, data[:size])
             self.assertThat(broken, Equals(None))
             got += found
             data = data[size:]
@@ -58,7 +58,7 @@
         for at in range(len(whole)):
             bad = bytearray(whole)
             bad[at] ^= 1 << rng.randrange(8)
-            found, broken = frames.feed(frames.FrameBuffer(), bytes(bad))
+            found, broken = frames.receive(frames.FrameBuffer(), bytes(bad))
             self.assertThat(found, Equals([]))
             if broken:
                 causes.add(broken.cause)
@@ -67,7 +67,7 @@
     def test_oversized_and_nonsense(self):
         head = struct.pack(">4sHII", b"PHW1", 1, frames.LIMIT_BYTES + 1, 0)
         self.assertThat(
-            frames.feed(frames.FrameBuffer(), head)[1], Equals(frames.BrokenFrame("oversized"))
+            frames.receive(frames.FrameBuffer(), head)[1], Equals(frames.BrokenFrame("oversized"))
         )
         for size in range(0, 40):
             body = random.Random(size).randbytes(size)
