--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -38,11 +38,11 @@
 def on_ask(replica, nodes, asks, now_ms, sender, ask):
     """Queue the ask behind a new round, and send what the asker lacks."""
     node = nodes.seen[ask.name]
-    _learn_place(replica, node, now_ms, ask.position)
+    _learn_place(replica, node, now_ms, ask.index)
     asks.waiting.append((sender, ask, replica.round + 1))
     effects = _begin_round(replica, asks, now_ms)
     feed_snapshots.refresh(replica, nodes, now_ms)
-    if node.transfer and ask.position >= node.transfer.snapshot.id.index:
+    if node.transfer and ask.index >= node.transfer.snapshot.id.index:
         feed_snapshots.finish(replica, nodes, node)
     if node.transfer:
         return effects + feed_snapshots.heartbeat(replica, node)
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -139,9 +139,9 @@
 
 
 def on_snapshot(follow, message):
-    if _reached(follow, message.position):
+    if _reached(follow, message.index):
         return News()
-    follow.state, follow.place = state_machine.restore(message.body), message.position
+    follow.state, follow.place = state_machine.restore(message.body), message.index
     follow.snapshot_term = message.snapshot_term
     follow.recent.clear()
     follow.recent_bytes = 0
@@ -153,7 +153,7 @@
     follow.term = max(follow.term, mark.term)
     if mark.direct:
         follow.direct_ms = max(follow.direct_ms, mark.sent_ms)
-    follow.marks.append((mark.sent_ms, mark.position))
+    follow.marks.append((mark.sent_ms, mark.index))
     _settle(follow)
 
 
@@ -179,8 +179,8 @@
     for sender, asked, at_ms in follow.relays:
         if follow.current_ms < at_ms:
             continue
-        if asked.position < follow.place:
-            effects += _catch_up(follow, now_ms, sender, asked.position)
+        if asked.index < follow.place:
+            effects += _catch_up(follow, now_ms, sender, asked.index)
         effects.append(Send(sender, FreshnessMark(asked.sent_ms, follow.term, follow.place, False)))
     follow.relays = [r for r in follow.relays if follow.current_ms < r[2]]
     return effects
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -59,13 +59,13 @@
             ask.incarnation,
             ask.role,
             now_ms,
-            ask.position,
+            ask.index,
             ask.answered_sent_ms,
             now_ms,
-            sent_place=ask.position,
+            sent_place=ask.index,
         )
         return
-    old.heard_ms, old.address, old.place = now_ms, ask.address, ask.position
+    old.heard_ms, old.address, old.place = now_ms, ask.address, ask.index
     old.role = ask.role
     if ask.answered_sent_ms > old.answered_ms:
         old.answered_ms, old.took_ms = ask.answered_sent_ms, now_ms
--- a/libs/simulation/src/simulation/model/history.py
+++ b/libs/simulation/src/simulation/model/history.py
@@ -127,8 +127,8 @@
                         self.told[first] = self.sent[replica.identity, first]
             self.asked = True
         if isinstance(message, FreshnessMark) and message.sent_ms in self.reads:
-            if message.position < self.reads.pop(message.sent_ms):
-                self.broken("reads-current", f"{replica.identity} answers {message.position}")
+            if message.index < self.reads.pop(message.sent_ms):
+                self.broken("reads-current", f"{replica.identity} answers {message.index}")
 
     def _answers(self):
         """Each record told durable stands at its place in the committed entries."""
--- a/libs/transport/src/transport/codec.py
+++ b/libs/transport/src/transport/codec.py
@@ -1,13 +1,13 @@
-"""Dataclasses to bytes and back.
+"""Binary encoding of dataclasses.
 
-Every message that two of our processes exchange, and every entry of the log,
-is a dataclass.  Its field annotations decide its layout, so a message is
-declared once and cannot disagree with its own encoding.
+Every message between processes and the body of every log entry is a dataclass.  The encoding
+follows from the annotations of its fields, in their order and without their names, so a
+message is declared in one place only.
 
-The layout, field after field: an int in eight bytes, signed, high byte first; a
-float as IEEE double, high byte first; a bool in one byte; text (UTF-8) and bytes
-after their length, a tuple after its count, both as LEB128; a dataclass as its
-own fields.  Fields of fixed size that stand side by side are packed in one go.
+Encoding of a field: an int as eight bytes, signed, big-endian; a float as an IEEE double,
+big-endian; a bool as one byte; a str (UTF-8) and bytes after their length, a tuple after its
+item count, both counts as LEB128; a dataclass as its fields.  Neighbouring fields of fixed
+size are packed together.
 """
 
 import dataclasses
@@ -21,30 +21,32 @@
 
 _FIXED = {int: "q", float: "d", bool: "?"}
 _ONE_BYTE_LENGTH = 0x7F
-"""The longest length that is spelt in one byte."""
-_KEPT_RECORDS = 1024
-"""How many records' bytes are kept at most."""
+"""The greatest length that is encoded in one byte."""
+_CACHED_RECORDS = 1024
+"""Size of the cache of encoded records."""
 _LONGEST_LENGTH = 10
-"""Bytes of a length that we read at most; 64 bits fit."""
+"""Greatest number of bytes of an encoded length: enough for 64 bits."""
 
 
 class DecodeError(Exception):
-    """Bytes that do not spell the dataclass they claim to be."""
+    """The bytes are not an encoding of the expected dataclass."""
 
 
 def to_bytes(value):
+    """The encoding of a dataclass instance."""
     out = bytearray()
     _record(type(value)).write(out, value)
     return bytes(out)
 
 
 def from_bytes(kind, data):
-    found = []
+    """The instance of the dataclass `kind` that `data` encodes; raises DecodeError."""
+    values = []
     try:
-        _record(kind).read(data, 0, found)
+        _record(kind).read(data, 0, values)
     except (struct.error, ValueError, LookupError, TypeError, OverflowError, MemoryError) as broken:
         raise DecodeError(kind.__name__) from broken
-    return found[0]
+    return values[0]
 
 
 def _write_length(out, length):
@@ -64,12 +66,12 @@
         length |= (byte & 0x7F) << (7 * number)
         if byte < 0x80:
             return length, at + number + 1
-    raise ValueError("a length without an end")
+    raise ValueError("a length is encoded in too many bytes")
 
 
 @dataclasses.dataclass(frozen=True)
-class _FixedRun:
-    """Fields of fixed size side by side; `get` gives one value, or all in a tuple."""
+class _FixedFields:
+    """Neighbouring fields of fixed size; `get` returns one value, or several in a tuple."""
 
     get: typing.Callable
     packer: struct.Struct
@@ -85,6 +87,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Bytes:
+    """A field of bytes, after its length."""
+
     get: typing.Callable
 
     def write(self, out, value):
@@ -96,14 +100,16 @@
         size, at = _read_length(data, at)
         end = at + size
         if end > len(data):
-            raise ValueError("cut off")
+            raise ValueError("the data ends within a field")
         values.append(data[at:end])
         return end
 
 
 class _Text(_Bytes):
-    """As the bytes of its encoding.  Most of what is read and written are short texts, so
-    a length of one byte is dealt with here."""
+    """A str field, as its UTF-8 bytes.
+
+    Most fields are short texts, so lengths of one byte are handled here without a call.
+    """
 
     def write(self, out, value):
         encoded = self.get(value).encode()
@@ -121,14 +127,14 @@
             size, at = _read_length(data, at - 1)
         end = at + size
         if end > len(data):
-            raise ValueError("cut off")
+            raise ValueError("the data ends within a field")
         values.append(data[at:end].decode())
         return end
 
 
 @dataclasses.dataclass(frozen=True)
-class _Many:
-    """A tuple; `item` reads and writes each of its values."""
+class _Tuple:
+    """A tuple field; `item` reads and writes each of its items."""
 
     get: typing.Callable
     item: object
@@ -136,8 +142,8 @@
     def write(self, out, value):
         found = self.get(value)
         _write_length(out, len(found))
-        for one in found:
-            self.item.write(out, one)
+        for inner in found:
+            self.item.write(out, inner)
 
     def read(self, data, at, values):
         count, at = _read_length(data, at)
@@ -150,7 +156,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Record:
-    """A dataclass, as the fields it has."""
+    """A dataclass, as its fields."""
 
     get: typing.Callable
     kind: type
@@ -169,39 +175,41 @@
         return at
 
 
-class _KeptRecord(_Record):
-    """A record of texts and truth values inside another, as the cards of nodes are: the
-    same few are written again and again, so their bytes are kept."""
+class _CachedRecord(_Record):
+    """A dataclass of str and bool fields inside another one, such as NodeInfo.
+
+    The same few instances are written again and again, so their encodings are cached.
+    """
 
     def write(self, out, value):
-        out += _kept_bytes(self.get(value))
+        out += _cached_bytes(self.get(value))
 
 
-@functools.lru_cache(_KEPT_RECORDS)
-def _kept_bytes(value):
+@functools.lru_cache(_CACHED_RECORDS)
+def _cached_bytes(value):
     return to_bytes(value)
 
 
-def _itself(value):
+def _identity(value):
     return value
 
 
 @functools.cache
-def _record(kind, get=_itself):
+def _record(kind, get=_identity):
     hints = typing.get_type_hints(kind)
     named = [(field.name, hints[field.name]) for field in dataclasses.fields(kind)]
     found = []
-    for fixed, run in itertools.groupby(named, lambda one: one[1] in _FIXED):
+    for fixed, run in itertools.groupby(named, lambda pair: pair[1] in _FIXED):
         if fixed:
             names, kinds = zip(*run)
-            found.append(_fixed_run(operator.attrgetter(*names), kinds))
+            found.append(_fixed_fields(operator.attrgetter(*names), kinds))
         else:
             found += [_field(operator.attrgetter(name), kind) for name, kind in run]
     return _Record(get, kind, tuple(found))
 
 
-def _fixed_run(get, kinds):
-    return _FixedRun(get, struct.Struct(">" + "".join(_FIXED[kind] for kind in kinds)))
+def _fixed_fields(get, kinds):
+    return _FixedFields(get, struct.Struct(">" + "".join(_FIXED[kind] for kind in kinds)))
 
 
 def _field(get, kind):
@@ -210,10 +218,10 @@
     if kind is bytes:
         return _Bytes(get)
     if kind in _FIXED:
-        return _fixed_run(get, (kind,))
+        return _fixed_fields(get, (kind,))
     if typing.get_origin(kind) is tuple:
-        return _Many(get, _field(_itself, typing.get_args(kind)[0]))
+        return _Tuple(get, _field(_identity, typing.get_args(kind)[0]))
     inner = _record(kind, get)
     if set(typing.get_type_hints(kind).values()) <= {str, bool}:
-        return _KeptRecord(inner.get, inner.kind, inner.fields)
+        return _CachedRecord(inner.get, inner.kind, inner.fields)
     return inner
--- a/libs/transport/src/transport/compression.py
+++ b/libs/transport/src/transport/compression.py
@@ -1,8 +1,8 @@
-"""Compression of what our processes send one another.
+"""Compression of messages between processes.
 
-News of the log goes to every node and is mostly short JSON of a few kinds, so both sides
-start from a dictionary of its usual words.  The same bytes go to many nodes in a row:
-what was compressed last is kept.
+Log entries go to every node and are mostly short JSON records of a few kinds, so both sides
+use a preset zlib dictionary of their usual words.  The same bytes are often sent to many nodes
+in a row, so the latest results are cached.
 """
 
 import functools
@@ -10,14 +10,14 @@
 
 __all__ = ["DecompressionError", "compress", "decompress"]
 
-# Shorter bodies gain less than they cost.
-_LEAST_BYTES = 160
-# Longer ones are not kept, since each goes to few nodes.
-_MOST_KEPT_BYTES = 1 << 14
-_KEPT = 64
+# Shorter bodies gain less than compressing them costs.
+_MIN_BYTES = 160
+# Results for longer bodies are not cached, since each of them goes to few nodes.
+_MAX_CACHED_BYTES = 1 << 14
+_CACHE_SIZE = 64
 _LEVEL = 4
-# The usual words of records, the most frequent last, as zlib wants them.  Both sides of a
-# connection must have the same ones: a change of them is a change of the frames' form.
+# Preset dictionary: the usual words of records, the most frequent last, as zlib prefers.  Both
+# sides of a connection must use the same bytes: changing them changes the frame format.
 _WORDS = (
     b'{"k":"found","engine":"","incarnation":"","items":{},"service":"","keep":[]}'
     b'{"k":"suspect","engine":""}{"k":"cleared","engine":""}{"k":"dropped","engine":""}'
@@ -32,35 +32,38 @@
 
 
 class DecompressionError(Exception):
-    """Bytes that are no compressed body, or one of more than the bytes allowed."""
+    """The bytes are not a compressed body, or it is longer than allowed."""
 
 
 def compress(body):
-    """A shorter form of some bytes, or None if there is none worth having."""
-    if len(body) < _LEAST_BYTES:
+    """The compressed body, or None if it is short or doesn't become shorter."""
+    if len(body) < _MIN_BYTES:
         return None
-    if len(body) > _MOST_KEPT_BYTES:
+    if len(body) > _MAX_CACHED_BYTES:
         return _compress(body)
     return _compress_cached(body)
 
 
 def _compress(body):
-    packer = zlib.compressobj(_LEVEL, zdict=_WORDS)
-    made = packer.compress(body) + packer.flush()
-    return made if len(made) < len(body) else None
+    compressor = zlib.compressobj(_LEVEL, zdict=_WORDS)
+    result = compressor.compress(body) + compressor.flush()
+    return result if len(result) < len(body) else None
 
 
-_compress_cached = functools.lru_cache(maxsize=_KEPT)(_compress)
+_compress_cached = functools.lru_cache(maxsize=_CACHE_SIZE)(_compress)
 
 
-def decompress(data, most_bytes):
-    """The bytes of a compressed form; raises DecompressionError if it is cut, spoilt, longer than
-    `most_bytes`, or followed by anything."""
-    unpacker = zlib.decompressobj(zdict=_WORDS)
+def decompress(data, max_bytes):
+    """The body of which `data` is the compressed form.
+
+    Raises DecompressionError if it is truncated, corrupt, longer than `max_bytes` or followed
+    by other bytes.
+    """
+    decompressor = zlib.decompressobj(zdict=_WORDS)
     try:
-        body = unpacker.decompress(data, most_bytes)
-    except zlib.error as wrong:
-        raise DecompressionError(str(wrong)) from wrong
-    if not unpacker.eof or unpacker.unused_data:
-        raise DecompressionError("not whole")
+        body = decompressor.decompress(data, max_bytes)
+    except zlib.error as error:
+        raise DecompressionError(str(error)) from error
+    if not decompressor.eof or decompressor.unused_data:
+        raise DecompressionError("truncated, too long or followed by other bytes")
     return body
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -1,10 +1,8 @@
-"""TCP connections between our processes.
+"""TCP connections between processes.
 
-Each node listens on one address and dials whom it talks to; a connection carries
-frames one way, and the first of them says who dialled.  One thread watches all
-connections, so that they cost none however many peers there are; what fits is written
-at once by whoever sends.  Nothing here resends: a message on a broken connection is
-lost, and the state machines above know that.
+Each node listens on one address and dials the nodes that it sends to.  A connection carries
+frames from the dialling node only; the first is a Gossip message.  One thread watches all
+connections.  Messages on a broken connection are lost, as the state machines allow.
 """
 
 import errno
@@ -20,9 +18,9 @@
 
 __all__ = ["Connections"]
 
-_LINE_BYTES = 8 << 20
+_MAX_UNSENT_BYTES = 8 << 20
 _CHUNK_BYTES = 1 << 16
-_UNDERWAY = (errno.EINPROGRESS, errno.EAGAIN)
+_IN_PROGRESS = (errno.EINPROGRESS, errno.EAGAIN)
 
 
 def _split(address):
@@ -31,189 +29,191 @@
 
 
 @dataclass
-class _Line:
-    """A connection that we dial: what waits to be written, and since when it has."""
+class _Outgoing:
+    """A connection that this node dials, with the unsent bytes and when the last were sent."""
 
     to: str
     sock: socket.socket = None
     opened: bool = False
-    out: bytearray = field(default_factory=bytearray)
-    moved_s: float = 0.0
-    not_before_s: float = 0.0
+    unsent: bytearray = field(default_factory=bytearray)
+    progress_s: float = 0.0
+    redial_s: float = 0.0
 
 
 @dataclass
-class _Reader:
-    """A connection that somebody dialled."""
+class _Incoming:
+    """A connection that another node dialled."""
 
     sock: socket.socket
-    intake: frames.FrameBuffer = field(default_factory=frames.FrameBuffer)
+    buffer: frames.FrameBuffer = field(default_factory=frames.FrameBuffer)
     sender: str = ""
 
 
 class Connections:
-    """`send` is the one public method; what arrives goes to `on_message`."""
+    """Passes received messages to `on_message(sender, message)`, log lines to `on_log(event,
+    facts)`.  `make_greeting()`: the first message of a new connection.  A connection without
+    progress for `stall_ms` is closed."""
 
-    def __init__(self, address, hello, on_message, on_note, stall_ms):
-        self._hello, self._on_message, self._on_note = hello, on_message, on_note
+    def __init__(self, address, make_greeting, on_message, on_log, stall_ms):
+        self._make_greeting, self._on_message, self._on_log = make_greeting, on_message, on_log
         self._stall_s = stall_ms / 1000
-        self._lines, self._lock = {}, threading.RLock()
+        self._outgoing, self._lock = {}, threading.RLock()
         self._listener = socket.create_server(_split(address), backlog=256, reuse_port=False)
         self._listener.setblocking(False)
-        self._bell, self._ring = socket.socketpair()
-        self._bell.setblocking(False)
-        self._ring.setblocking(False)
-        self._rung, self._closed = False, False
+        self._wake_receiver, self._wake_sender = socket.socketpair()
+        self._wake_receiver.setblocking(False)
+        self._wake_sender.setblocking(False)
+        self._wake_pending, self._closed = False, False
         self._selector = selectors.DefaultSelector()
         self._selector.register(self._listener, selectors.EVENT_READ, None)
-        self._selector.register(self._bell, selectors.EVENT_READ, None)
-        self._wanted = []
+        self._selector.register(self._wake_receiver, selectors.EVENT_READ, None)
+        self._to_watch = []
         threading.Thread(target=self._run, name="connections", daemon=True).start()
 
     def send(self, to, message):
         if not to.rpartition(":")[2].isdigit():
-            self._on_note("connection-nowhere", {"to": to, "kind": type(message).__name__})
+            self._on_log("connection-bad-address", {"to": to, "kind": type(message).__name__})
             return
         data = frames.pack(message)
         with self._lock:
-            line = self._lines.get(to)
-            if line is None:
-                line = self._lines[to] = _Line(to)
-            if line.sock is None:
-                if time.monotonic() < line.not_before_s:
+            conn = self._outgoing.get(to)
+            if conn is None:
+                conn = self._outgoing[to] = _Outgoing(to)
+            if conn.sock is None:
+                if time.monotonic() < conn.redial_s:
                     return
-                self._dial(line)
-            if line.sock is None:
+                self._dial(conn)
+            if conn.sock is None:
                 return
-            if len(line.out) > _LINE_BYTES:
-                self._on_note("connection-full", {"to": to})
+            if len(conn.unsent) > _MAX_UNSENT_BYTES:
+                self._on_log("connection-full", {"to": to})
                 return
-            if not line.out:
-                line.moved_s = time.monotonic()
-            line.out += data
-            if line.opened and len(line.out) == len(data):
-                self._write(line)
+            if not conn.unsent:
+                conn.progress_s = time.monotonic()
+            conn.unsent += data
+            if conn.opened and len(conn.unsent) == len(data):
+                self._write(conn)
 
     def close(self):
-        """Take no more connections; those that are open end with their other side."""
+        """Accept no more connections; open ones last until the other side closes them."""
         self._closed = True
         self._wake()
 
     def _wake(self):
-        if not self._rung:
-            self._rung = True
+        if not self._wake_pending:
+            self._wake_pending = True
             try:
-                self._ring.send(b"!")
+                self._wake_sender.send(b"!")
             except OSError:
                 pass
 
-    def _watch(self, line):
-        """Have the watching thread look for what this line waits for."""
-        self._wanted.append(line)
+    def _watch(self, conn):
+        """Have the watching thread wait until this connection can be written to."""
+        self._to_watch.append(conn)
         self._wake()
 
-    def _dial(self, line):
-        sock = socket.socket(socket.AF_INET6 if "[" in line.to else socket.AF_INET)
+    def _dial(self, conn):
+        sock = socket.socket(socket.AF_INET6 if "[" in conn.to else socket.AF_INET)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(2000 * self._stall_s))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        host, port = _split(line.to)
+        host, port = _split(conn.to)
         try:
             code = sock.connect_ex((host.strip("[]"), port))
         except OSError as failed:
             code = failed.errno
-        if code and code not in _UNDERWAY:
+        if code and code not in _IN_PROGRESS:
             sock.close()
-            self._lost(line, "ConnectionRefusedError")
+            self._disconnect(conn, "ConnectionRefusedError")
             return
-        line.sock, line.opened, line.moved_s = sock, False, time.monotonic()
-        line.out = bytearray(frames.pack(self._hello()))
-        self._watch(line)
+        conn.sock, conn.opened, conn.progress_s = sock, False, time.monotonic()
+        conn.unsent = bytearray(frames.pack(self._make_greeting()))
+        self._watch(conn)
 
-    def _lost(self, line, cause):
-        if line.sock is not None:
+    def _disconnect(self, conn, cause):
+        if conn.sock is not None:
             try:
-                self._selector.unregister(line.sock)
+                self._selector.unregister(conn.sock)
             except (KeyError, ValueError):
                 pass
-            line.sock.close()
-        line.sock, line.opened, line.out = None, False, bytearray()
-        line.not_before_s = time.monotonic() + self._stall_s / 10
-        self._on_note("connection-lost", {"to": line.to, "cause": cause})
+            conn.sock.close()
+        conn.sock, conn.opened, conn.unsent = None, False, bytearray()
+        conn.redial_s = time.monotonic() + self._stall_s / 10
+        self._on_log("connection-lost", {"to": conn.to, "cause": cause})
 
-    def _write(self, line):
-        """Write what fits; the rest waits for the watching thread."""
+    def _write(self, conn):
+        """Write what the socket takes; the watching thread writes the rest."""
         try:
-            while line.out:
-                sent = line.sock.send(line.out[:_CHUNK_BYTES])
-                del line.out[:sent]
-                line.moved_s = time.monotonic()
+            while conn.unsent:
+                sent = conn.sock.send(conn.unsent[:_CHUNK_BYTES])
+                del conn.unsent[:sent]
+                conn.progress_s = time.monotonic()
         except (BlockingIOError, InterruptedError):
-            self._watch(line)
+            self._watch(conn)
         except OSError as failed:
-            self._lost(line, type(failed).__name__)
+            self._disconnect(conn, type(failed).__name__)
 
     def _run(self):
         while not self._closed:
             for key, mask in self._selector.select(self._stall_s / 2):
                 if key.fileobj is self._listener:
-                    self._let_in()
-                elif key.fileobj is self._bell:
-                    self._bell.recv(64)
-                elif isinstance(key.data, _Line):
-                    self._on_line(key.data, key.fileobj, mask)
+                    self._accept()
+                elif key.fileobj is self._wake_receiver:
+                    self._wake_receiver.recv(64)
+                elif isinstance(key.data, _Outgoing):
+                    self._on_outgoing(key.data, key.fileobj, mask)
                 else:
                     self._read(key.data)
-            self._rung = False
+            self._wake_pending = False
             with self._lock:
-                self._mind()
+                self._watch_and_time_out()
         self._listener.close()
 
-    def _mind(self):
-        """Watch what asks for it, and break off what has not moved for too long."""
-        wanted, self._wanted = self._wanted, []
-        for line in wanted:
-            if line.sock is not None:
+    def _watch_and_time_out(self):
+        """Register new connections for watching; close those without progress."""
+        added, self._to_watch = self._to_watch, []
+        for conn in added:
+            if conn.sock is not None:
                 mask = selectors.EVENT_READ | selectors.EVENT_WRITE
                 try:
-                    self._selector.modify(line.sock, mask, line)
+                    self._selector.modify(conn.sock, mask, conn)
                 except KeyError:
-                    self._selector.register(line.sock, mask, line)
+                    self._selector.register(conn.sock, mask, conn)
         now_s = time.monotonic()
-        for line in self._lines.values():
-            if line.sock is not None and line.out and now_s - line.moved_s > self._stall_s:
-                self._lost(line, "TimeoutError")
+        for conn in self._outgoing.values():
+            if conn.sock is not None and conn.unsent and now_s - conn.progress_s > self._stall_s:
+                self._disconnect(conn, "TimeoutError")
 
-    def _on_line(self, line, sock, mask):
-        """What was seen of a socket that is this line's no more says nothing."""
+    def _on_outgoing(self, conn, sock, mask):
+        """Handle readiness, unless the connection has another socket by now."""
         with self._lock:
-            if line.sock is not sock:
+            if conn.sock is not sock:
                 return
-            if mask & selectors.EVENT_READ and self._ended(line):
+            if mask & selectors.EVENT_READ and self._peer_closed(conn):
                 return
             if mask & selectors.EVENT_WRITE:
-                code = line.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                code = conn.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if code:
-                    self._lost(line, "ConnectionRefusedError")
+                    self._disconnect(conn, "ConnectionRefusedError")
                     return
-                line.opened = True
-                self._selector.modify(line.sock, selectors.EVENT_READ, line)
-                self._write(line)
+                conn.opened = True
+                self._selector.modify(conn.sock, selectors.EVENT_READ, conn)
+                self._write(conn)
 
-    def _ended(self, line):
+    def _peer_closed(self, conn):
         try:
-            if line.sock.recv(4096):
+            if conn.sock.recv(4096):
                 return False
             cause = "closed"
         except (BlockingIOError, InterruptedError):
             return False
         except OSError as failed:
             cause = type(failed).__name__
-        self._lost(line, cause)
+        self._disconnect(conn, cause)
         return True
 
-    def _let_in(self):
+    def _accept(self):
         for _ in range(64):
             try:
                 sock, _ = self._listener.accept()
@@ -222,29 +222,29 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            self._selector.register(sock, selectors.EVENT_READ, _Reader(sock))
+            self._selector.register(sock, selectors.EVENT_READ, _Incoming(sock))
 
-    def _read(self, reader):
+    def _read(self, incoming):
         try:
-            data = reader.sock.recv(_CHUNK_BYTES)
+            data = incoming.sock.recv(_CHUNK_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
-        if not data or not self._take(reader, data):
-            self._selector.unregister(reader.sock)
-            reader.sock.close()
+        if not data or not self._deliver(incoming, data):
+            self._selector.unregister(incoming.sock)
+            incoming.sock.close()
 
-    def _take(self, reader, data):
-        """Hand on whole messages; False if this connection is to be closed."""
-        found, broken = frames.receive(reader.intake, data)
+    def _deliver(self, incoming, data):
+        """Pass on complete messages; returns whether to keep the connection open."""
+        found, broken = frames.receive(incoming.buffer, data)
         for message in found:
-            if not reader.sender:
+            if not incoming.sender:
                 if not isinstance(message, Gossip):
-                    self._on_note("connection-rude", {"kind": type(message).__name__})
+                    self._on_log("connection-without-greeting", {"kind": type(message).__name__})
                     return False
-                reader.sender = message.sender.address
-            self._on_message(reader.sender, message)
+                incoming.sender = message.sender.address
+            self._on_message(incoming.sender, message)
         if broken:
-            self._on_note("connection-broken", {"from": reader.sender, "cause": broken.cause})
+            self._on_log("connection-broken", {"from": incoming.sender, "cause": broken.cause})
         return not broken
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -1,9 +1,8 @@
-"""Every way to fail, as a type.
+"""Failures: the errors that are reported to callers and operators, one type each.
 
-A failure is a frozen dataclass with a class-level `tag` (its stable name for
-programs) and `status` (the HTTP status it maps to).  Whoever hands one to a
-person or a caller uses `as_json`; nothing in the system fails with a bare
-string.
+A failure is a frozen dataclass with a class-level `tag` (its stable name for programs) and
+`status` (the HTTP status it maps to).  `as_json` is the form in which it is sent and logged;
+the fields stand in it under their own names.
 """
 
 import dataclasses
@@ -49,18 +48,20 @@
     "NOT_RUN_STATUSES",
 ]
 
-# Statuses by which a caller is promised that its request has not run and never will.
+# Statuses that promise a caller that its request has not run and never will.
 NOT_RUN_STATUSES = (401, 408, 421, 429, 503)
 
 
 @dataclass(frozen=True)
 class Failure:
+    """Base class of all failures."""
+
     tag: ClassVar[str] = "failure"
     status: ClassVar[int] = 500
 
 
 @dataclass_transform(frozen_default=True)
-def _kind(tag, status):
+def _failure(tag, status):
     def wrap(cls):
         cls.tag, cls.status = tag, status
         return dataclass(frozen=True)(cls)
@@ -68,208 +69,247 @@
     return wrap
 
 
-@_kind("field-wrong", 422)
+@_failure("field-wrong", 422)
 class FieldWrong(Failure):
+    """A field of a request or document is invalid; `field` is its path."""
+
     field: str
     cause: str
 
 
-@_kind("layout-wrong", 422)
+@_failure("layout-wrong", 422)
 class LayoutWrong(Failure):
+    """A configuration has invalid fields."""
+
     fields: tuple[FieldWrong, ...]
 
 
-@_kind("stamp-stale", 409)
+@_failure("stamp-stale", 409)
 class StampStale(Failure):
+    """A change expected another version of the configuration than the current one."""
+
     expected: int
     current: int
 
 
-@_kind("wrong-partner", 403)
+@_failure("wrong-partner", 403)
 class WrongPartner(Failure):
+    """An operator tried to change another partner's section."""
+
     partner: str
     section: str
 
 
-@_kind("body-oversized", 413)
+@_failure("body-oversized", 413)
 class BodyOversized(Failure):
     limitBytes: int
 
 
-@_kind("body-malformed", 400)
+@_failure("body-malformed", 400)
 class BodyMalformed(Failure):
     cause: str
 
 
-@_kind("body-incomplete", 408)
+@_failure("body-incomplete", 408)
 class BodyIncomplete(Failure):
-    """The request ended before its body did; what was sent in full may be sent again."""
+    """The connection ended within the request's body."""
 
 
-@_kind("unauthorized", 401)
+@_failure("unauthorized", 401)
 class Unauthorized(Failure):
-    """No tenant holds the request's API key; of the key, only a fingerprint is told."""
+    """The request's API key belongs to no tenant; only a fingerprint of the key is reported."""
 
     fingerprint: str
 
 
-@_kind("unknown-model", 404)
+@_failure("unknown-model", 404)
 class UnknownModel(Failure):
+    """The service has no such model."""
+
     service: str
     model: str
 
 
-@_kind("unknown-service", 404)
+@_failure("unknown-service", 404)
 class UnknownService(Failure):
+    """No such service is configured."""
+
     service: str
 
 
-@_kind("not-found", 404)
+@_failure("not-found", 404)
 class NotFound(Failure):
     what: str
 
 
-@_kind("overloaded", 503)
+@_failure("overloaded", 503)
 class Overloaded(Failure):
+    """No engine or queue has capacity for the request now."""
+
     retryMs: int
     cause: str
 
 
-@_kind("no-room", 503)
+@_failure("no-room", 503)
 class NoRoom(Failure):
+    """The model can't be loaded now, as no engine has room for it."""
+
     retryMs: int
     model: str
     cause: str
 
 
-@_kind("quota-exceeded", 429)
+@_failure("quota-exceeded", 429)
 class QuotaExceeded(Failure):
-    """The request is over its tenant's limit; `retryMs`: when the next one may be let in."""
+    """The request exceeds its tenant's rate limit; the next may be admitted after `retryMs`."""
 
     tenant: str
     retryMs: int
 
 
-@_kind("stale", 503)
+@_failure("stale", 503)
 class Stale(Failure):
-    """This node has not heard a confirmed mark lately and gives out no work."""
+    """This node's copy of the log wasn't confirmed as current lately, so it routes no requests."""
 
     retryMs: int
     age_ms: int
 
 
-@_kind("edition-ahead", 503)
+@_failure("edition-ahead", 503)
 class EditionAhead(Failure):
-    """The change builds on an edition that isn't there yet and may be on its way."""
+    """The change builds on a later edition than the current one, which may still arrive."""
 
     expected: int
     current: int
 
 
-@_kind("no-holder", 503)
+@_failure("no-holder", 503)
 class NoHolder(Failure):
+    """No node that is known holds the lease of the shard now."""
+
     retryMs: int
     shard: int
 
 
-@_kind("outcome-unknown", 502)
+@_failure("outcome-unknown", 502)
 class OutcomeUnknown(Failure):
-    """The work may have run; asking again may run it a second time."""
+    """The request may have run; a retry may run it a second time."""
 
     cause: str
 
 
-@_kind("engine-failed", 502)
+@_failure("engine-failed", 502)
 class EngineFailed(Failure):
+    """An engine answered with an error status."""
+
     engine: str
     code: int
 
 
-@_kind("deadline-passed", 504)
+@_failure("deadline-passed", 504)
 class DeadlinePassed(Failure):
+    """The request's deadline has passed; `ran`: whether it may have run."""
+
     retryMs: int
     ran: bool
 
 
-@_kind("stream-cut", 502)
+@_failure("stream-cut", 502)
 class StreamCut(Failure):
+    """A stream broke off after `pieces` pieces."""
+
     cause: str
     pieces: int
 
 
-@_kind("config-wrong", 500)
+@_failure("config-wrong", 500)
 class ConfigWrong(Failure):
+    """A setting of the process is invalid."""
+
     field: str
     cause: str
 
 
-@_kind("no-tokens", 200)
+@_failure("no-tokens", 200)
 class NoTokens(Failure):
-    """A warning, not an end: an operator's partner is only a claim here."""
+    """A warning at start: without a token file, operators' partner names aren't verified."""
 
     cause: str
 
 
-@_kind("folder-in-use", 500)
+@_failure("folder-in-use", 500)
 class FolderInUse(Failure):
+    """Another process uses the data folder."""
+
     folder: str
 
 
-@_kind("folder-unwritable", 500)
+@_failure("folder-unwritable", 500)
 class FolderUnwritable(Failure):
+    """The data folder can't be written."""
+
     folder: str
     cause: str
 
 
-@_kind("disk-untrusted", 500)
+@_failure("disk-untrusted", 500)
 class DiskUntrusted(Failure):
+    """A stored file is damaged or a write to it failed."""
+
     file: str
     cause: str
 
 
-@_kind("majority-lost", 503)
+@_failure("majority-lost", 503)
 class MajorityLost(Failure):
+    """The log has no majority, so the change can't be committed."""
+
     retryMs: int
 
 
 @dataclass(frozen=True)
 class EarlierRefusal(Failure):
-    """The answer a change got when it was first refused, told again."""
+    """A change that was refused before is refused again with the same status and body."""
 
     status: int = 409
     body: dict = dataclasses.field(default_factory=dict)
 
 
-@_kind("core-broke", 500)
+@_failure("core-broke", 500)
 class CoreBroke(Failure):
-    """A defect of ours: the process stops rather than go on half alive."""
+    """A state machine raised an exception: the process stops."""
 
     event: str
     error: str
 
 
-@_kind("address-taken", 500)
+@_failure("address-taken", 500)
 class AddressTaken(Failure):
+    """The listen address is in use."""
+
     address: str
 
 
-@_kind("unreachable", 502)
+@_failure("unreachable", 502)
 class Unreachable(Failure):
+    """A node can't be reached."""
+
     node: str
 
 
 def as_json(failure):
+    """A failure as the JSON object that is sent and logged."""
     if isinstance(failure, EarlierRefusal):
         return {**failure.body, "again": True}
     return {"failure": failure.tag, **dataclasses.asdict(failure)}
 
 
 def for_started_request(failure):
-    """What may be told of work that may have run: nothing that promises it hasn't."""
+    """The failure to report for a request that may have run: none that promises it has not."""
     return OutcomeUnknown("leg-broken") if failure.status in NOT_RUN_STATUSES else failure
 
 
 def retry_after(failure):
-    """Whole seconds for the Retry-After header, or None where none belongs."""
+    """Whole seconds for the Retry-After header, or None if the failure has no `retryMs`."""
     wait_ms = getattr(failure, "retryMs", None)
     return None if wait_ms is None else max(1, -(-int(wait_ms) // 1000))
--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -97,10 +97,10 @@
 
 @dataclass(frozen=True)
 class FeedRequest:
-    """A follower's periodic ping and request for log entries after `position`.
+    """A follower's periodic ping and request for the log entries after `index`.
 
-    `answered_sent_ms` is the `sent_ms` of the latest request of this node that was answered,
-    by the node's own clock.
+    `answered_sent_ms` is the `sent_ms` of the latest request of this node that the leader
+    answered, by the node's own clock.
     """
 
     name: str
@@ -108,13 +108,13 @@
     incarnation: str
     role: str
     sent_ms: float
-    position: int
+    index: int
     answered_sent_ms: float = -1.0
 
 
 @dataclass(frozen=True)
 class FreshnessMark:
-    """Confirmation that `position` was the commit index at some time after `sent_ms`.
+    """Confirmation that `index` was the commit index at some time after `sent_ms`.
 
     `sent_ms` is copied from the FeedRequest.  `direct`: sent by the leader, after a majority
     has confirmed its leadership, and not passed on by another follower.
@@ -122,25 +122,25 @@
 
     sent_ms: float
     term: int
-    position: int
+    index: int
     direct: bool
 
 
 @dataclass(frozen=True)
 class FeedEntries:
-    """Committed log entries for a follower; `position` is the index of the last one."""
+    """Committed log entries for a follower; `index` is that of the last one."""
 
     term: int
-    position: int
+    index: int
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class FeedSnapshot:
-    """The replicated state at log index `position`; travels as FeedChunks, never as a whole."""
+    """The replicated state at the log index `index`; travels as FeedChunks, never as a whole."""
 
     term: int
-    position: int
+    index: int
     snapshot_term: int
     body: bytes
 
--- a/libs/transport/src/transport/socket_state.py
+++ b/libs/transport/src/transport/socket_state.py
@@ -4,7 +4,7 @@
 
 __all__ = ["closed_by_peer"]
 
-_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def closed_by_peer(sock):
@@ -12,6 +12,6 @@
     try:
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
-        return any(events & _CLOSED for _, events in poll.poll(0))
+        return any(events & _GONE for _, events in poll.poll(0))
     except (OSError, ValueError):
         return True
--- a/tests/test_waybill.py
+++ b/tests/test_waybill.py
@@ -107,7 +107,7 @@
         self.assertIn((CARD.address, messages.TransferLeadership(9)), seen)
         self.assertThat(
             {notes.get(timeout=20)[0] for _ in range(2)},
-            Equals({"connection-broken", "connection-rude"}),
+            Equals({"connection-broken", "connection-without-greeting"}),
         )
 
 
@@ -125,15 +125,15 @@
         self.addCleanup(there.close)
         for turn in range(200):
             here.send(addresses[1], LeaseRelease("n", turn, 1, ""))
-            line = here._lines[addresses[1]]
-            old = line.sock
+            connection = here._outgoing[addresses[1]]
+            old = connection.sock
             with here._lock:
                 if old is not None:
-                    here._lost(line, "test")
-                line.not_before_s = 0.0
-                here._dial(line)
+                    here._disconnect(connection, "test")
+                connection.redial_s = 0.0
+                here._dial(connection)
                 if old is not None:
-                    here._on_line(line, old, selectors.EVENT_READ | selectors.EVENT_WRITE)
+                    here._on_outgoing(connection, old, selectors.EVENT_READ | selectors.EVENT_WRITE)
         here.send(addresses[1], LeaseRelease("n", 999, 1, ""))
         while got.get(timeout=10) != LeaseRelease("n", 999, 1, ""):
             pass
