--- a/libs/transport/src/transport/codec.py
+++ b/libs/transport/src/transport/codec.py
@@ -23,9 +23,9 @@
 _ONE_BYTE_LENGTH = 0x7F
 """The greatest length that is encoded in one byte."""
 _CACHED_RECORDS = 1024
-"""Size of the cache of encoded records."""
+"""How many encoded records are kept in the cache."""
 _LONGEST_LENGTH = 10
-"""Greatest number of bytes of an encoded length: enough for 64 bits."""
+"""How many bytes of an encoded length are read at most: enough for 64 bits."""
 
 
 class DecodeError(Exception):
@@ -100,7 +100,7 @@
         size, at = _read_length(data, at)
         end = at + size
         if end > len(data):
-            raise ValueError("the data ends within a field")
+            raise ValueError("the data is cut off within a field")
         values.append(data[at:end])
         return end
 
@@ -127,7 +127,7 @@
             size, at = _read_length(data, at - 1)
         end = at + size
         if end > len(data):
-            raise ValueError("the data ends within a field")
+            raise ValueError("the data is cut off within a field")
         values.append(data[at:end].decode())
         return end
 
