--- a/libs/configuration/src/configuration/judging.py
+++ b/libs/configuration/src/configuration/change_validation.py
@@ -2,13 +2,13 @@
 
 from transport.failures import FieldWrong, LayoutWrong, NotFound, StampStale, WrongPartner
 
-from configuration import documents, engine_list, merging, passages
-from configuration.views import zone_names
+from configuration import document_facts, documents, engine_list, merging
+from configuration.lookups import zone_names
 
-__all__ = ["judged"]
+__all__ = ["evaluate_change"]
 
 
-def judged(registry, verb, body):
+def evaluate_change(registry, verb, body):
     """(what to log or None if nothing changes, None) or (None, failure)."""
     expected = body.get("expect")
     if expected is not None and (not isinstance(expected, int) or isinstance(expected, bool)):
@@ -16,7 +16,7 @@
     rule = {
         "layout": _layout,
         "zone": _zone,
-        "engines": engine_list.judged,
+        "engines": engine_list.evaluate_change,
         "written": _written,
     }.get(verb)
     if rule is None or (verb == "written" and registry.reader is None):
@@ -25,7 +25,9 @@
 
 
 def _written(registry, body, expected):
-    told, failure = documents.judged(registry.reader, registry.document, body, registry.checked)
+    told, failure = documents.evaluate_change(
+        registry.reader, registry.document, body, registry.checked
+    )
     return (None, failure) if failure else ({"k": "written", **told}, None)
 
 
@@ -33,7 +35,7 @@
     partner, section = body.get("partner"), body.get("section")
     if not isinstance(partner, str) or not partner:
         return None, FieldWrong("partner", "missing")
-    if registry.reader is not None and partner == passages.OWNER:
+    if registry.reader is not None and partner == document_facts.OWNER:
         return None, FieldWrong("partner", "kept for the written configuration")
     actor = body.get("actor")
     if actor != partner:
@@ -42,8 +44,10 @@
     if expected is not None and expected != current:
         return None, StampStale(expected, current)
     if body.get("partial"):
-        section = merging.patched(registry.sections.get(partner, {}), section)
-    checked, wrong = merging.whole(registry.sections, partner, section, zone_names(registry))
+        section = merging.merge_patch(registry.sections.get(partner, {}), section)
+    checked, wrong = merging.check_section(
+        registry.sections, partner, section, zone_names(registry)
+    )
     if wrong:
         return None, LayoutWrong(tuple(wrong[:100]))
     return {"k": "layout", "partner": partner, "section": checked}, None
--- a/libs/configuration/src/configuration/checked_document.py
+++ b/libs/configuration/src/configuration/checked_document.py
@@ -10,9 +10,16 @@
 
 from marshmallow import ValidationError
 
-from configuration import passages
+from configuration import document_facts
 
-__all__ = ["CheckedDocument", "Unreadable", "accepts", "advanced", "read_items", "read_whole"]
+__all__ = [
+    "CheckedDocument",
+    "Unreadable",
+    "after_differences",
+    "is_surely_valid",
+    "read_items",
+    "read_whole",
+]
 
 _UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 
@@ -37,10 +44,10 @@
     routes: dict = field(default_factory=dict)
     services: dict = field(default_factory=dict)
     tenants: dict = field(default_factory=dict)
-    places: dict = field(default_factory=dict)
-    uses: Counter = field(default_factory=Counter)
-    holders: dict = field(default_factory=dict)
-    sound: bool | None = None
+    route_names: dict = field(default_factory=dict)
+    service_uses: Counter = field(default_factory=Counter)
+    key_owners: dict = field(default_factory=dict)
+    valid: bool | None = None
 
 
 def _read(part, name, item, read_item):
@@ -64,7 +71,7 @@
     return CheckedDocument(document, *found)
 
 
-def advanced(reader, checked, document, differences):
+def after_differences(reader, checked, document, differences):
     """The CheckedDocument of what `differences`, one after the other, made of the one
     that `checked` is of; or, if that is None, read anew."""
     if checked is None:
@@ -77,7 +84,7 @@
             facts = _with_difference(part, read_item, facts, told, touched[part])
         found.append(facts)
     made = CheckedDocument(document, *found)
-    if checked.sound and accepts(reader, checked, document, touched):
+    if checked.valid and is_surely_valid(reader, checked, document, touched):
         _carry_on(made, checked, touched[reader.routes], touched[reader.tenants])
     return made
 
@@ -100,9 +107,9 @@
 def _carry_on(made, checked, routes, tenants):
     """What is known of the earlier document, with the routes and tenants of these names
     changed."""
-    made.sound = True
-    made.places, made.uses = dict(checked.places), Counter(checked.uses)
-    made.holders = dict(checked.holders)
+    made.valid = True
+    made.route_names, made.service_uses = dict(checked.route_names), Counter(checked.service_uses)
+    made.key_owners = dict(checked.key_owners)
     for name in routes & checked.routes.keys():
         _forget_route(made, name, checked.routes[name])
     for name in routes & made.routes.keys():
@@ -118,40 +125,40 @@
 
 
 def _forget_route(checked, name, route):
-    if checked.places.get(_place(route)) == name:
-        del checked.places[_place(route)]
-    checked.uses.subtract(share["service"] for share in route["split"])
+    if checked.route_names.get(_place(route)) == name:
+        del checked.route_names[_place(route)]
+    checked.service_uses.subtract(share["service"] for share in route["split"])
 
 
 def _note_route(checked, name, route):
-    checked.places[_place(route)] = name
-    checked.uses.update(share["service"] for share in route["split"])
+    checked.route_names[_place(route)] = name
+    checked.service_uses.update(share["service"] for share in route["split"])
 
 
 def _forget_tenant(checked, tenant):
     for key in tenant["keys"]:
-        checked.holders.pop(key, None)
+        checked.key_owners.pop(key, None)
 
 
 def _note_tenant(checked, name, tenant):
     for key in tenant["keys"]:
-        checked.holders[key] = name
+        checked.key_owners[key] = name
 
 
-def _whole_is_sound(checked):
-    if checked.sound is None:
-        checked.sound = not passages.check(checked.routes, checked.services, checked.tenants)
-        for name, route in checked.routes.items() if checked.sound else ():
+def _whole_is_valid(checked):
+    if checked.valid is None:
+        checked.valid = not document_facts.check(checked.routes, checked.services, checked.tenants)
+        for name, route in checked.routes.items() if checked.valid else ():
             _note_route(checked, name, route)
-        for name, tenant in checked.tenants.items() if checked.sound else ():
+        for name, tenant in checked.tenants.items() if checked.valid else ():
             _note_tenant(checked, name, tenant)
-    return checked.sound
+    return checked.valid
 
 
-def accepts(reader, checked, document, touched):
+def is_surely_valid(reader, checked, document, touched):
     """Whether `document`, which differs from the one of `checked` in items of the names
     `touched` of each part at most, is certain to pass the check of the whole."""
-    if not _whole_is_sound(checked):
+    if not _whole_is_valid(checked):
         return False
     try:
         routes, services, tenants = [
@@ -161,9 +168,9 @@
     except Unreadable:
         return False
     return (
-        all(_well_formed(passages.SERVICE, facts) for facts in services.values())
-        and all(_well_formed(passages.ROUTE, facts) for facts in routes.values())
-        and all(_well_formed(passages.TENANT, facts) for facts in tenants.values())
+        all(_well_formed(document_facts.SERVICE, facts) for facts in services.values())
+        and all(_well_formed(document_facts.ROUTE, facts) for facts in routes.values())
+        and all(_well_formed(document_facts.TENANT, facts) for facts in tenants.values())
         and _fit(reader, checked, document, routes, touched)
         and _keys_fit(checked, document["parts"].get(reader.tenants, {}), tenants)
     )
@@ -195,14 +202,14 @@
         uses.subtract(share["service"] for share in checked.routes[name]["split"])
     for name, route in changed.items():
         place = _place(route)
-        holder = checked.places.get(place, name)
+        holder = checked.route_names.get(place, name)
         held = holder != name and holder in names and holder not in changed
         if held or place in taken or sum(s["weight"] for s in route["split"]) <= 0:
             return False
         taken.add(place)
         uses.update(share["service"] for share in route["split"])
     gone = touched[reader.services] & checked.services.keys() - services.keys()
-    unused = all(checked.uses[n] + uses[n] <= 0 for n in gone)
+    unused = all(checked.service_uses[n] + uses[n] <= 0 for n in gone)
     return unused and all(n in services for n, count in uses.items() if count > 0)
 
 
@@ -211,7 +218,7 @@
     holders = {}
     for name, tenant in changed.items():
         for key in tenant["keys"]:
-            before = checked.holders.get(key, name)
+            before = checked.key_owners.get(key, name)
             held = before != name and before in names and before not in changed
             if held or holders.setdefault(key, name) != name:
                 return False
--- a/libs/configuration/src/configuration/document_changes.py
+++ b/libs/configuration/src/configuration/document_changes.py
@@ -7,7 +7,7 @@
 
 import json
 
-__all__ = ["difference", "keep_same", "merged"]
+__all__ = ["apply_difference", "difference", "reuse_unchanged"]
 
 
 def _same(old, new):
@@ -15,7 +15,7 @@
     return old is new or (old == new and json.dumps(old) == json.dumps(new))
 
 
-def keep_same(old, new, touched):
+def reuse_unchanged(old, new, touched):
     """Put the very items of `old` in place of those of `new` that read back alike, among
     the names `touched` of each part."""
     for part, items in new["parts"].items():
@@ -43,7 +43,7 @@
     return told
 
 
-def merged(document, told):
+def apply_difference(document, told):
     """A document with a change laid over it."""
     parts = {part: dict(items) for part, items in document["parts"].items()}
     for part in told.get("absent", ()):
--- a/libs/configuration/src/configuration/documents.py
+++ b/libs/configuration/src/configuration/documents.py
@@ -14,9 +14,17 @@
 
 from transport.failures import FieldWrong, LayoutWrong, StampStale
 
-from configuration import checked_document, document_changes, passages
-
-__all__ = ["Reader", "EMPTY", "judged", "as_sent", "named", "read", "Unreadable"]
+from configuration import checked_document, document_changes, document_facts
+
+__all__ = [
+    "Reader",
+    "EMPTY",
+    "evaluate_change",
+    "operator_form",
+    "items_by_name",
+    "to_section",
+    "Unreadable",
+]
 
 EMPTY = {"edition": 0, "parts": {}, "rest": {}}
 
@@ -55,7 +63,7 @@
         self.wrong = FieldWrong(field, cause)
 
 
-def named(part, items):
+def items_by_name(part, items):
     """A list of named items as {name: item}."""
     if not isinstance(items, list):
         raise Unreadable(part, "not a list")
@@ -75,7 +83,7 @@
     for part in (reader.routes, reader.services):
         if part not in body:
             raise Unreadable(part, "missing")
-    parts = {part: named(part, body[part]) for part, _ in reader.parts() if part in body}
+    parts = {part: items_by_name(part, body[part]) for part, _ in reader.parts() if part in body}
     rest = {k: v for k, v in body.items() if k not in parts and k != reader.edition}
     return {"edition": body[reader.edition], "parts": parts, "rest": rest}
 
@@ -96,7 +104,7 @@
     for part, items in upsert.items():
         if not _is_listed(reader, parts, part):
             raise Unreadable(f"{reader.upsert}.{part}", "no such list")
-        parts.setdefault(part, {}).update(named(part, items))
+        parts.setdefault(part, {}).update(items_by_name(part, items))
     rest = {k: v for k, v in document["rest"].items() if k not in parts}
     return {"edition": body[reader.edition], "parts": parts, "rest": rest}
 
@@ -118,12 +126,12 @@
         raise Unreadable(at, unreadable.cause) from unreadable
 
 
-def read(checked):
+def to_section(checked):
     """The section that a good document spells."""
-    return passages.section(checked.routes, checked.services, checked.tenants)
+    return document_facts.section(checked.routes, checked.services, checked.tenants)
 
 
-def judged(reader, document, body, checked=None):
+def evaluate_change(reader, document, body, checked=None):
     """(what changes, None) or (None, failure) for a change to `document`.
 
     `body`: {"expect": the edition built on, "written": the change, "partial"}; `checked`
@@ -141,10 +149,10 @@
     try:
         made = _patched(reader, document, told) if body.get("partial") else _whole(reader, told)
         touched = _touched(reader, document, told, made, body.get("partial"))
-        document_changes.keep_same(document, made, touched)
+        document_changes.reuse_unchanged(document, made, touched)
         known = checked is not None
-        if not known or not checked_document.accepts(reader, checked, made, touched):
-            wrong = passages.check(*_facts(reader, made))
+        if not known or not checked_document.is_surely_valid(reader, checked, made, touched):
+            wrong = document_facts.check(*_facts(reader, made))
             if wrong:
                 return None, LayoutWrong(tuple(wrong[:100]))
     except Unreadable as unreadable:
@@ -165,7 +173,7 @@
     return found
 
 
-def as_sent(reader, document):
+def operator_form(reader, document):
     """The whole document in its operators' form."""
     return json.dumps(
         {
--- a/libs/configuration/src/configuration/earlier_records.py
+++ b/libs/configuration/src/configuration/earlier_records.py
@@ -5,12 +5,12 @@
 that version treated it, until a later configuration replaces it.
 """
 
-from configuration import checked_document, documents, passages
+from configuration import checked_document, document_facts, documents
 
-__all__ = ["document", "translated"]
+__all__ = ["upgrade_difference", "upgrade_document"]
 
 
-def document(reader, found):
+def upgrade_document(reader, found):
     """A document out of a checkpoint, with its tenants among the parts."""
     items = None if reader is None else _tenants(reader, found["rest"])
     if items is None:
@@ -19,7 +19,7 @@
     return {**found, "parts": {**found["parts"], reader.tenants: items}, "rest": rest}
 
 
-def translated(reader, before, told):
+def upgrade_difference(reader, before, told):
     """A logged change to the document `before`, as `document_changes` has it.
 
     Where that version logged a rest, it was the whole of it: tenants that it doesn't
@@ -48,8 +48,8 @@
     if reader.tenants not in rest:
         return None
     try:
-        items = documents.named(reader.tenants, rest[reader.tenants])
+        items = documents.items_by_name(reader.tenants, rest[reader.tenants])
         facts = checked_document.read_items(reader.tenants, items, reader.tenant)
     except (documents.Unreadable, checked_document.Unreadable):
         return None
-    return None if passages.check({}, {}, facts) else items
+    return None if document_facts.check({}, {}, facts) else items
--- a/libs/configuration/src/configuration/engine_list.py
+++ b/libs/configuration/src/configuration/engine_list.py
@@ -6,7 +6,7 @@
 
 from transport.failures import FieldWrong, StampStale
 
-__all__ = ["judged"]
+__all__ = ["evaluate_change"]
 
 _ENGINE = {"name": str, "state": str, "service": str, "zone": str, "url": str}
 _SIZES = {"roomMb": 0, "adapterPlaces": 0, "slots": 1, "warmMs": 0}
@@ -33,7 +33,7 @@
     return None
 
 
-def judged(registry, body, expected):
+def evaluate_change(registry, body, expected):
     """(what to log, None) or (None, failure) for a change of the engine list."""
     given = body.get("engines")
     if not isinstance(given, list) or not given or len(given) > 2000:
--- a/libs/configuration/src/configuration/views.py
+++ b/libs/configuration/src/configuration/lookups.py
@@ -1,6 +1,6 @@
 """What the configuration in force says, by name, of all partners together."""
 
-__all__ = ["services", "models", "tenants", "asks_for_keys", "zone_names"]
+__all__ = ["services", "models", "tenants", "requires_keys", "zone_names"]
 
 
 def services(registry):
@@ -24,7 +24,7 @@
     return registry.memo["tenants"]
 
 
-def asks_for_keys(registry):
+def requires_keys(registry):
     """Whether requests need a tenant's key: where the configuration in force lists tenants,
     though the list may be empty by now."""
     if tenants(registry):
--- a/libs/configuration/src/configuration/merging.py
+++ b/libs/configuration/src/configuration/merging.py
@@ -9,12 +9,12 @@
 
 from transport.failures import FieldWrong
 
-from configuration import passages, schema
+from configuration import document_facts, schema
 
-__all__ = ["patched", "whole"]
+__all__ = ["check_section", "merge_patch"]
 
 
-def patched(section, patch):
+def merge_patch(section, patch):
     """A new section: `patch` merged over `section`."""
     if not isinstance(patch, dict):
         return patch
@@ -23,11 +23,11 @@
         if value is None:
             result.pop(key, None)
         else:
-            result[key] = patched(result.get(key), value)
+            result[key] = merge_patch(result.get(key), value)
     return result
 
 
-def whole(sections, partner, section, zones):
+def check_section(sections, partner, section, zones):
     """Check `section` as `partner`'s among all `sections`.
 
     Returns (checked section, list of FieldWrong); `zones` are those known.
@@ -116,7 +116,7 @@
 def _routes(merged, services, partner):
     wrong = []
     for owner, section in sorted(merged.items()):
-        if owner == passages.OWNER:
+        if owner == document_facts.OWNER:
             continue
         prefix = "routes" if owner == partner else f"({owner}).routes"
         for name, route in section["routes"].items():
--- a/libs/configuration/src/configuration/answers.py
+++ b/libs/configuration/src/configuration/recorded_responses.py
@@ -4,11 +4,17 @@
 
 import json
 
-__all__ = ["ANSWER_BYTES", "KEPT", "KEPT_BYTES", "Answers", "shortened"]
+__all__ = [
+    "MAX_RESPONSE_BYTES",
+    "MAX_RESPONSES",
+    "MAX_TOTAL_BYTES",
+    "RecordedResponses",
+    "truncated",
+]
 
-KEPT = 4096
-KEPT_BYTES = 512 << 10
-ANSWER_BYTES = 2 << 10
+MAX_RESPONSES = 4096
+MAX_TOTAL_BYTES = 512 << 10
+MAX_RESPONSE_BYTES = 2 << 10
 _TEXT_LENGTH = 300
 # The status of a change that was taken.
 _DONE = 200
@@ -18,19 +24,19 @@
     return len(json.dumps(answer, separators=(",", ":")))
 
 
-class Answers(dict):
-    """Answers by change id, in the order in which they were given."""
+class RecordedResponses(dict):
+    """RecordedResponses by change id, in the order in which they were given."""
 
     def __init__(self, found=()):
         super().__init__(found)
         self._bytes = sum(len(change) + _size(answer) for change, answer in self.items())
 
-    def remember(self, change, answer):
+    def record(self, change, answer):
         """Keep an answer, and drop the least needed that there is no room for."""
         self._forget(change)
         self[change] = answer
         self._bytes += len(change) + _size(answer)
-        while len(self) > KEPT or (self._bytes > KEPT_BYTES and len(self) > 1):
+        while len(self) > MAX_RESPONSES or (self._bytes > MAX_TOTAL_BYTES and len(self) > 1):
             self._forget(self._least_needed())
 
     def _least_needed(self):
@@ -47,11 +53,11 @@
             self._bytes -= len(change) + _size(self.pop(change))
 
 
-def shortened(answer):
+def truncated(answer):
     """A refusal with long texts cut, and of a long list as many items as fit."""
-    if _size(answer) <= ANSWER_BYTES:
+    if _size(answer) <= MAX_RESPONSE_BYTES:
         return answer
-    return {**answer, "told": _cut(answer["told"], ANSWER_BYTES)}
+    return {**answer, "told": _cut(answer["told"], MAX_RESPONSE_BYTES)}
 
 
 def _cut(value, room):
--- a/libs/configuration/src/configuration/registry.py
+++ b/libs/configuration/src/configuration/registry.py
@@ -18,17 +18,17 @@
 )
 
 from configuration import (
-    answers,
+    change_validation,
     checked_document,
     document_changes,
+    document_facts,
     documents,
     earlier_records,
-    judging,
-    passages,
+    recorded_responses,
 )
-from configuration.answers import Answers
 from configuration.checked_document import CheckedDocument
-from configuration.views import asks_for_keys, models, services, tenants, zone_names
+from configuration.lookups import models, requires_keys, services, tenants, zone_names
+from configuration.recorded_responses import RecordedResponses
 
 __all__ = [
     "Registry",
@@ -40,7 +40,7 @@
     "services",
     "models",
     "tenants",
-    "asks_for_keys",
+    "requires_keys",
     "zone_names",
     "VERBS",
 ]
@@ -58,7 +58,7 @@
     zones: dict = field(default_factory=dict)
     zoneStamps: dict = field(default_factory=dict)
     engines: dict = field(default_factory=dict)
-    changes: Answers = field(default_factory=Answers)
+    changes: RecordedResponses = field(default_factory=RecordedResponses)
     document: dict = field(default_factory=lambda: documents.EMPTY)
     zonesKnown: tuple = ()
     reader: object = field(default=None, repr=False, compare=False)
@@ -95,9 +95,9 @@
         registry.sections[told["partner"]] = told["section"]
         registry.stamps[told["partner"]] = told["stamp"]
     elif kind == "written":
-        told = earlier_records.translated(registry.reader, registry.document, told)
-        registry.document = document_changes.merged(registry.document, told)
-        registry.stamps[passages.OWNER] = told["stamp"]
+        told = earlier_records.upgrade_difference(registry.reader, registry.document, told)
+        registry.document = document_changes.apply_difference(registry.document, told)
+        registry.stamps[document_facts.OWNER] = told["stamp"]
     elif kind == "zone":
         registry.zoneStamps[told["zone"]] = told["stamp"]
         if told["evacuated"]:
@@ -110,7 +110,7 @@
             if engine["state"] == "gone":
                 del registry.engines[engine["name"]]
     if told.get("change"):
-        registry.changes.remember(told["change"], told.get("answer", told["stamp"]))
+        registry.changes.record(told["change"], told.get("answer", told["stamp"]))
     return told if kind == "written" else None
 
 
@@ -120,8 +120,10 @@
     reader, document = registry.reader, registry.document
     if reader is None or not document["edition"]:
         return
-    registry.checked = checked_document.advanced(reader, registry.checked, document, differences)
-    registry.sections[passages.OWNER] = documents.read(registry.checked)
+    registry.checked = checked_document.after_differences(
+        reader, registry.checked, document, differences
+    )
+    registry.sections[document_facts.OWNER] = documents.to_section(registry.checked)
 
 
 def decide(registry, verb, body):
@@ -138,12 +140,12 @@
         return None, None, FieldWrong("change", "not a short text")
     if change and change in registry.changes:
         return None, *_told_before(registry.changes[change])
-    told, failure = judging.judged(registry, verb, body)
+    told, failure = change_validation.evaluate_change(registry, verb, body)
     if body.get("may_wait") and _is_ahead(failure):
         return None, None, EditionAhead(failure.expected, failure.current)
     stamp = registry.stamp + (told is not None)
     if failure:
-        answer = answers.shortened({"status": failure.status, "told": as_json(failure)})
+        answer = recorded_responses.truncated({"status": failure.status, "told": as_json(failure)})
         told = {"k": "refused", "answer": answer}
     elif told is None:
         answer = {"status": 200, "told": {"stamp": stamp, "same": True}}
@@ -176,7 +178,9 @@
     """The registry as a checkpoint; a written layout is kept as its document only."""
     fields = {k: v for k, v in vars(registry).items() if k not in _NOT_DUMPED}
     if registry.document["edition"]:
-        fields["sections"] = {k: v for k, v in registry.sections.items() if k != passages.OWNER}
+        fields["sections"] = {
+            k: v for k, v in registry.sections.items() if k != document_facts.OWNER
+        }
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
@@ -184,7 +188,7 @@
     if not body:
         return Registry(zonesKnown=zonesKnown, reader=reader)
     registry = Registry(**json.loads(body), zonesKnown=zonesKnown, reader=reader)
-    registry.changes = Answers(registry.changes)
-    registry.document = earlier_records.document(reader, registry.document)
+    registry.changes = RecordedResponses(registry.changes)
+    registry.document = earlier_records.upgrade_document(reader, registry.document)
     _reread(registry)
     return registry
--- a/libs/configuration/src/configuration/templates.py
+++ b/libs/configuration/src/configuration/templates.py
@@ -34,7 +34,7 @@
     except ValueError as failed:
         return _wrong("(template)", f"does not render to JSON: {failed}")
     for overlay in overlays:
-        section = merging.patched(section, overlay)
+        section = merging.merge_patch(section, overlay)
     checked, wrong = schema.check(section)
     return LayoutWrong(tuple(wrong)) if wrong else checked
 
--- a/libs/routing/src/routing/tenants.py
+++ b/libs/routing/src/routing/tenants.py
@@ -91,7 +91,7 @@
     holder = _holders(registry).get(credential.key_digest)
     if holder is not None:
         return Tenant(holder.name, holder.rank)
-    if credential.public or not registries.asks_for_keys(registry):
+    if credential.public or not registries.requires_keys(registry):
         return Tenant(None, None)
     return failures.Unauthorized(fingerprint(credential.key_digest))
 
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -3,7 +3,7 @@
 import json
 from types import SimpleNamespace
 
-from configuration import passages as written
+from configuration import document_facts as written
 from configuration import registry as registries
 from placement import floor as floors
 from placement import ledger as ledgers
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from adapter.dialect import DIALECT
-from configuration import passages
+from configuration import document_facts
 from configuration.registry import Registry
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
@@ -77,7 +77,7 @@
         self.doors = {f"e{n}": self._door(f"e{n}", at[3 + n]) for n in range(3)}
         self.process = Process(config.check(told), DIALECT)
         node = self.process._node
-        section = passages.section(routes(), {"s": {"kind": "plain", **WARM}})
+        section = document_facts.section(routes(), {"s": {"kind": "plain", **WARM}})
         node.floor.registry = Registry(
             sections={"floor": section},
             engines={
--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -7,7 +7,7 @@
 import random
 
 from adapter import configuration
-from configuration import checked_document, documents, passages
+from configuration import checked_document, document_facts, documents
 from configuration import registry as registries
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -72,7 +72,7 @@
         self.whole = made.configuration(random.Random(1), 1, routes=ROUTES)
         answer, failure, _ = do(self.registry, change(0, self.whole, partial=False))
         self.assertThat(failure, Equals(None))
-        for schema in (passages.ROUTE, passages.SERVICE):
+        for schema in (document_facts.ROUTE, document_facts.SERVICE):
             self.patch(schema, "load", self.counting.counted_load(schema.load))
 
     def send(self, body):
@@ -204,7 +204,7 @@
         for turn, (body, partial) in enumerate(told):
             now = registry.document
             body = {**body, "edition": now["edition"] + 1}
-            wanted = documents.judged(READER, now, change(now["edition"], body, partial))
+            wanted = documents.evaluate_change(READER, now, change(now["edition"], body, partial))
             sent = {**change(now["edition"], body, partial), "change": f"turn {turn}"}
             record, _, failure = registries.decide(registry, "written", sent)
             assert failure == wanted[1]
@@ -215,4 +215,4 @@
                 assert list(found["set"]["routes"]) == list(wanted[0]["set"]["routes"])
             registries.apply(registry, record)
             fresh = checked_document.read_whole(READER, registry.document)
-            assert registry.sections[passages.OWNER] == documents.read(fresh)
+            assert registry.sections[document_facts.OWNER] == documents.to_section(fresh)
--- a/tests/test_earlier_records.py
+++ b/tests/test_earlier_records.py
@@ -49,7 +49,7 @@
         return told
 
     def back(self, reader, registry):
-        return exact(json.loads(documents.as_sent(reader, registry.document)))
+        return exact(json.loads(documents.operator_form(reader, registry.document)))
 
     def assert_tenants(self, whole):
         found = registries.tenants(self.follower)
@@ -100,5 +100,5 @@
             self.assert_tenants({"senders": told["upsert"]["senders"]})
             kept = registries.load(registries.dump(self.follower), reader=READER)
             self.assertThat(kept, Equals(self.follower))
-            back = json.loads(documents.as_sent(READER, kept.document))
+            back = json.loads(documents.operator_form(READER, kept.document))
             self.assertThat(back["senders"], Equals(told["upsert"]["senders"]))
--- a/tests/test_manifest.py
+++ b/tests/test_manifest.py
@@ -60,7 +60,7 @@
             patch = {k: tree(rng, 2, True) for k in rng.sample("abcd", 2)}
             wanted = plain_patch(base, patch)
             before = copy.deepcopy(base)
-            got = dict(flat(merging.patched(base, patch)))
+            got = dict(flat(merging.merge_patch(base, patch)))
             self.assertThat(base, Equals(before))
             leaves = {p: v for p, v in got.items() if v != "{}"}
             self.assertThat(leaves, Equals({p: v for p, v in wanted.items() if v != "{}"}))
@@ -227,7 +227,7 @@
         self.assertThat(
             (sorted(found["wishes"]), found["models"]["a"]["roomMb"]), Equals((["w-b"], 9))
         )
-        checked, wrong = merging.whole({}, "p", found, ())
+        checked, wrong = merging.check_section({}, "p", found, ())
         self.assertThat((checked, wrong), Equals((found, [])))
 
     def test_wrong_ones_are_typed(self):
--- a/tests/test_platform_routes.py
+++ b/tests/test_platform_routes.py
@@ -2,7 +2,7 @@
 
 import random
 
-from configuration import passages
+from configuration import document_facts
 from configuration.registry import Registry
 from routing import routes
 from testtools import TestCase
@@ -15,7 +15,7 @@
         n: {"kind": "safe", "holdMs": 1.0, "split": [{"service": "s", "weight": 1.0}], **r}
         for n, r in made.items()
     }
-    return Registry(sections={"floor": passages.section(found, {"s": {"kind": "plain"}})})
+    return Registry(sections={"floor": document_facts.section(found, {"s": {"kind": "plain"}})})
 
 
 def plain(made, host, path):
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent.py
@@ -1,7 +1,7 @@
 """A leg that stays silent: another one elsewhere, or it goes on; it is never ended for
 nothing."""
 
-from configuration import passages
+from configuration import document_facts
 from configuration.registry import Registry
 from placement import floor
 from routing import choice, router
@@ -16,7 +16,9 @@
 class Silent(TestCase):
     def setUp(self):
         super().setUp()
-        section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
+        section = document_facts.section(
+            {}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}}
+        )
         self.floor = floor.Floor(
             SHARDS,
             registry=Registry(
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -68,11 +68,11 @@
     # A partial change that named tenants was refused where the base named none.
     def test_tenants_are_added_to_a_configuration_without_any(self):
         self.put(made.configuration(random.Random(8), 5))
-        self.assertThat(registries.asks_for_keys(self.operator.registry), Equals(False))
+        self.assertThat(registries.requires_keys(self.operator.registry), Equals(False))
         self.patch_tenants(remove=["a"])
         self.assertThat("senders" in self.whole, Equals(False))
         self.patch_tenants([sender("c", "kd")])
-        self.assertThat(registries.asks_for_keys(self.operator.registry), Equals(True))
+        self.assertThat(registries.requires_keys(self.operator.registry), Equals(True))
 
     # Versions that build on a change of tenants found another version in place.
     def test_later_changes_build_on_a_change_of_tenants(self):
@@ -94,7 +94,7 @@
         self.assertThat(self.keys(), Equals({"a": [], "b": ["kc", "kc"]}))
         self.patch_tenants(remove=["a", "b"])
         self.assertThat(self.whole["senders"], Equals([]))
-        self.assertThat(registries.asks_for_keys(self.operator.registry), Equals(True))
+        self.assertThat(registries.requires_keys(self.operator.registry), Equals(True))
 
     # ROUTE: with the last tenant gone, requests with keys that had been taken away ran again.
     def test_a_list_without_tenants_lets_nobody_in(self):
--- a/tests/test_platform_written.py
+++ b/tests/test_platform_written.py
@@ -47,7 +47,9 @@
         return status, json.loads(body)
 
     def back(self):
-        return exact(json.loads(documents.as_sent(configuration.READER, self.registry.document)))
+        return exact(
+            json.loads(documents.operator_form(configuration.READER, self.registry.document))
+        )
 
     def facts(self):
         r = self.registry
@@ -107,8 +109,8 @@
         kept = registries.load(registries.dump(self.operator.registry), reader=configuration.READER)
         self.assertThat(kept, Equals(self.operator.registry))
         self.assertThat(
-            documents.as_sent(configuration.READER, kept.document),
-            Equals(documents.as_sent(configuration.READER, self.operator.registry.document)),
+            documents.operator_form(configuration.READER, kept.document),
+            Equals(documents.operator_form(configuration.READER, self.operator.registry.document)),
         )
 
     def test_a_checkpoint_after_something_else_changed(self):
--- a/tests/test_register_machine.py
+++ b/tests/test_register_machine.py
@@ -285,12 +285,12 @@
         self.assertTrue(self.seen())
 
     def test_two_on_one_edition(self):
-        real = documents.judged
+        real = documents.evaluate_change
 
-        def judged(reader, found, body):
+        def evaluate_change(reader, found, body):
             return real(reader, found, {**body, "expect": found["edition"]})
 
-        self.patch(documents, "judged", judged)
+        self.patch(documents, "evaluate_change", evaluate_change)
         self.assertTrue(self.seen())
 
     def test_a_zone_s_order_refused_by_one_who_is_behind(self):
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from configuration import passages as written
+from configuration import document_facts as written
 from configuration.registry import Registry
 from placement import floor as floors
 from pulleyhitch import passages
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 from adapter.dialect import DIALECT
-from configuration import passages
+from configuration import document_facts
 from configuration.registry import Registry
 from placement import floor
 from process_harness import lone_counter
@@ -196,7 +196,9 @@
 
     def setUp(self):
         super().setUp()
-        section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
+        section = document_facts.section(
+            {}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}}
+        )
         self.floor = floor.Floor(
             SHARDS,
             registry=Registry(
--- a/tests/test_tenant_changes.py
+++ b/tests/test_tenant_changes.py
@@ -6,7 +6,7 @@
 import random
 
 from adapter import configuration
-from configuration import checked_document, documents, passages
+from configuration import checked_document, document_facts, documents
 from configuration import registry as registries
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
         self.whole = made.with_tenants(rng, made.configuration(rng, 1, routes=40), TENANTS)
         _, failure, self.first = do(self.registry, change(0, self.whole, partial=False))
         self.assertThat(failure, Equals(None))
-        for schema in (passages.ROUTE, passages.SERVICE, passages.TENANT):
+        for schema in (document_facts.ROUTE, document_facts.SERVICE, document_facts.TENANT):
             self.patch(schema, "load", self.counting.counted_load(schema.load))
 
     def send(self, edition, told, partial=True):
@@ -168,7 +168,9 @@
         for turn, (body, partial) in enumerate(told):
             now = registry.document
             body = {**body, "edition": now["edition"] + 1}
-            wanted, failed = documents.judged(READER, now, change(now["edition"], body, partial))
+            wanted, failed = documents.evaluate_change(
+                READER, now, change(now["edition"], body, partial)
+            )
             sent = {**change(now["edition"], body, partial), "change": f"turn {turn}"}
             record, _, failure = registries.decide(registry, "written", sent)
             after = made.patched(whole, body) if partial else body
@@ -178,9 +180,11 @@
                 whole, found = after, json.loads(record)
                 assert {k: found[k] for k in wanted} == json.loads(json.dumps(wanted))
             registries.apply(registry, record)
-            assert exact(json.loads(documents.as_sent(READER, registry.document))) == exact(whole)
+            assert exact(json.loads(documents.operator_form(READER, registry.document))) == exact(
+                whole
+            )
             fresh = checked_document.read_whole(READER, registry.document)
-            assert registry.sections[passages.OWNER] == documents.read(fresh)
+            assert registry.sections[document_facts.OWNER] == documents.to_section(fresh)
             assert list(registries.tenants(registry)) == [
                 item["name"] for item in whole.get("senders", [])
             ]
