--- a/libs/configuration/src/configuration/checked_document.py
+++ b/libs/configuration/src/configuration/checked_document.py
@@ -36,7 +36,7 @@
 class CheckedDocument:
     """A document with the facts of its items.
 
-    `valid`: the result of the check of the whole document, None if that was not made yet.  The other
+    `valid`: the result of the check of the whole document, None before that check.  The other
     fields are set only for a valid document: `route_names` by (host, prefix), `service_uses`
     (how many routes' shares name each service), `key_owners` (the tenant of each API key).
     """
--- a/libs/configuration/src/configuration/document_facts.py
+++ b/libs/configuration/src/configuration/document_facts.py
@@ -4,11 +4,11 @@
 here.  This module checks the facts, one by one and together, and makes a section of them like
 a partner's, so that placement and routing need not distinguish the two.
 
-The facts of a route: `host`, `prefix`, `kind` ("safe", "unsafe" or "stream"), `holdMs` (the longest
-time that a request may take), `aimMs` (the target latency), `rank`, `split` ((service, weight), ...),
-`tries`, `resumable`, `pauseMs` (the target gap between events), `patienceMs` (the silence after
-which its callers give up, 0 if unknown), `public` (no API key is needed).  Those of a service are
-in `_Service`, those of a tenant in `_Tenant`.
+The facts of a route: `host`, `prefix`, `kind` ("safe", "unsafe" or "stream"), `holdMs` (the
+longest time that a request may take), `aimMs` (the target latency), `rank`, `split` ((service,
+weight), ...), `tries`, `resumable`, `pauseMs` (the target gap between events), `patienceMs` (the
+silence after which its callers give up, 0 if unknown), `public` (no API key is needed).  Those of
+a service are in `_Service`, those of a tenant in `_Tenant`.
 """
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
--- a/libs/configuration/src/configuration/registry.py
+++ b/libs/configuration/src/configuration/registry.py
@@ -2,7 +2,7 @@
 
 `decide` validates a change that an operator requests, and returns the record to log or a
 failure; every follower applies logged records with `apply`.  Each change has an id, and a
-repeated change gets the response of the first.  Stamps number all changes in one sequence.
+repeated change gets the answer of the first.  Stamps number all changes in one sequence.
 """
 
 import json
@@ -17,17 +17,17 @@
 )
 
 from configuration import (
+    change_answers,
     change_validation,
     checked_document,
     document_changes,
     document_facts,
     documents,
     earlier_records,
-    recorded_responses,
 )
+from configuration.change_answers import ChangeAnswers
 from configuration.checked_document import CheckedDocument
 from configuration.lookups import models, requires_keys, services, tenants, zone_names
-from configuration.recorded_responses import RecordedResponses
 
 __all__ = [
     "Registry",
@@ -65,7 +65,7 @@
     zones: dict = field(default_factory=dict)
     zoneStamps: dict = field(default_factory=dict)
     engines: dict = field(default_factory=dict)
-    changes: RecordedResponses = field(default_factory=RecordedResponses)
+    changes: ChangeAnswers = field(default_factory=ChangeAnswers)
     document: dict = field(default_factory=lambda: documents.EMPTY)
     zonesKnown: tuple = ()
     reader: object = field(default=None, repr=False, compare=False)
@@ -133,11 +133,11 @@
 
 
 def decide(registry, verb, body):
-    """Return (record to log or None, response dict or None, Failure or None).
+    """Return (record to log or None, answer dict or None, Failure or None).
 
-    Every response is recorded under the change's id, also a refusal or that of a change without
+    Every answer is recorded under the change's id, also a refusal or that of a change without
     effect: a copy of the change that arrives later, when the registry has changed, must get the
-    same response.
+    same answer.
     """
     if not isinstance(body, dict):
         return None, None, FieldWrong("(whole)", "not an object")
@@ -145,19 +145,17 @@
     if not isinstance(change, str) or len(change) > 128:
         return None, None, FieldWrong("change", "not a short text")
     if change and change in registry.changes:
-        return None, *_recorded_response(registry.changes[change])
+        return None, *_recorded_answer(registry.changes[change])
     content, failure = change_validation.evaluate_change(registry, verb, body)
     if body.get("may_wait") and _is_ahead(failure):
         return None, None, EditionAhead(failure.expected, failure.current)
     stamp = registry.stamp + (content is not None)
     if failure:
-        response = recorded_responses.truncated(
-            {"status": failure.status, "told": as_json(failure)}
-        )
-        content = {"k": "refused", "answer": response}
+        answer = change_answers.truncated({"status": failure.status, "told": as_json(failure)})
+        content = {"k": "refused", "answer": answer}
     elif content is None:
-        response = {"status": 200, "told": {"stamp": stamp, "same": True}}
-        content = {"k": "same", "answer": response}
+        answer = {"status": 200, "told": {"stamp": stamp, "same": True}}
+        content = {"k": "same", "answer": answer}
     if content["k"] in ("refused", "same") and not change:
         return None, None if failure else {"stamp": stamp, "same": True}, failure
     record = _pack({**content, "stamp": stamp, "change": change})
@@ -170,7 +168,7 @@
     return isinstance(failure, StampStale) and failure.expected > failure.current
 
 
-def _recorded_response(kept):
+def _recorded_answer(kept):
     if isinstance(kept, dict) and kept["status"] == 200:
         return {**kept["told"], "again": True}, None
     if isinstance(kept, dict):
@@ -197,7 +195,7 @@
     if not body:
         return Registry(zonesKnown=zonesKnown, reader=reader)
     registry = Registry(**json.loads(body), zonesKnown=zonesKnown, reader=reader)
-    registry.changes = RecordedResponses(registry.changes)
+    registry.changes = ChangeAnswers(registry.changes)
     registry.document = earlier_records.upgrade_document(reader, registry.document)
     _update_section(registry)
     return registry
--- a/tests/test_answers_kept.py
+++ b/tests/test_answers_kept.py
@@ -4,7 +4,7 @@
 import random
 
 from adapter import configuration
-from configuration import recorded_responses
+from configuration import change_answers
 from configuration import registry as registries
 from simulation import platform_made as made
 from testtools import TestCase
@@ -36,7 +36,7 @@
         return record, answer, failure
 
     def test_hundreds_of_refusals_take_bounded_bytes(self):
-        self.patch(recorded_responses, "MAX_TOTAL_BYTES", 64 << 10)
+        self.patch(change_answers, "MAX_TOTAL_BYTES", 64 << 10)
         told = wrong(1, routes=101)
         for number in range(60):
             record, _, failure = self.send(f"c{number}", told, 1)
@@ -51,17 +51,17 @@
         self.assertThat(len(again.body["fields"]), GreaterThan(0))
 
     def test_many_short_answers_are_all_kept(self):
-        for number in range(recorded_responses.MAX_RESPONSES + 50):
+        for number in range(change_answers.MAX_ANSWERS + 50):
             stale = {**made.configuration(random.Random(2), 9), "edition": 9}
             self.send(f"{number:032d}", stale, 8)
         self.assertThat(len(self.registry.changes), GreaterThan(3000))
-        self.assertThat(len(self.registry.changes), LessThan(recorded_responses.MAX_RESPONSES + 1))
-        _, _, again = self.send(f"{recorded_responses.MAX_RESPONSES + 49:032d}", {}, 0)
+        self.assertThat(len(self.registry.changes), LessThan(change_answers.MAX_ANSWERS + 1))
+        _, _, again = self.send(f"{change_answers.MAX_ANSWERS + 49:032d}", {}, 0)
         self.assertThat(again.status, Equals(409))
 
     def test_all_who_follow_keep_the_same(self):
         """Also one that was started from a checkpoint on the way."""
-        self.patch(recorded_responses, "MAX_TOTAL_BYTES", 64 << 10)
+        self.patch(change_answers, "MAX_TOTAL_BYTES", 64 << 10)
         follower = registries.load(registries.dump(self.registry), reader=configuration.READER)
         rng = random.Random(3)
         for number in range(120):
