--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,8 +1,8 @@
-"""Makes target/deps: the libraries that the product names, and the product itself.
+"""Builds target/deps: the third-party libraries and the packages of this repository.
 
-Libraries are installed again only when what is asked for has changed; our own
-sources are copied at every build, so a change of them is never missed. What the
-machine lacks is named with the Debian package that brings it.
+Third-party libraries are installed again only if the requirements have changed; the packages
+of the repository are copied at every build, so a change of them is never missed. Error
+messages name the Debian package that provides what the machine lacks.
 """
 
 import compileall
@@ -28,7 +28,7 @@
 
 
 class BuildError(Exception):
-    """What keeps the build from its end, as the operator is to read it."""
+    """The build can't be completed; the message is printed for the operator."""
 
 
 def product_projects() -> list[pathlib.Path]:
@@ -37,8 +37,8 @@
     return [path for path in found if path.parent.name not in TEST_ONLY_PROJECTS]
 
 
-def outside_requirements(projects: list[pathlib.Path]) -> list[str]:
-    """What the projects ask of the package registry, once each."""
+def third_party_requirements(projects: list[pathlib.Path]) -> list[str]:
+    """The third-party requirements of the projects, without duplicates."""
     found: set[str] = set()
     for project in projects:
         declared = tomllib.loads(project.read_text())["project"]
@@ -49,17 +49,17 @@
 
 
 def check_tools() -> None:
-    """Raises BuildError when the machine lacks what the package client needs."""
+    """Raises BuildError if pip or the certificates that it needs are missing."""
     if importlib.util.find_spec("pip") is None:
         raise BuildError(f"pip is missing for {sys.executable} (Debian package python3-pip)")
     if not has_certificates():
         raise BuildError(
-            "no certificates to check the package registry with (Debian package ca-certificates)"
+            "no certificates to verify the package registry with (Debian package ca-certificates)"
         )
 
 
 def has_certificates() -> bool:
-    """Whether the system, or the environment, names a store of certificates."""
+    """Whether the system or the environment provides CA certificates."""
     paths = ssl.get_default_verify_paths()
     if paths.cafile is not None:
         return True
@@ -67,9 +67,9 @@
 
 
 def install(requirements: list[str]) -> None:
-    """Installs the outside requirements, unless the same ones are there already."""
-    wanted = "\n".join(requirements)
-    if INSTALLED_REQUIREMENTS.exists() and INSTALLED_REQUIREMENTS.read_text() == wanted:
+    """Installs the third-party requirements, unless they are the ones already installed."""
+    required = "\n".join(requirements)
+    if INSTALLED_REQUIREMENTS.exists() and INSTALLED_REQUIREMENTS.read_text() == required:
         return
     check_tools()
     shutil.rmtree(DEPS, ignore_errors=True)
@@ -79,11 +79,11 @@
         raise BuildError(
             "pip could not install " + ", ".join(requirements) + "; its error stands above"
         )
-    INSTALLED_REQUIREMENTS.write_text(wanted)
+    INSTALLED_REQUIREMENTS.write_text(required)
 
 
 def check_libraries() -> None:
-    """Raises BuildError when the installed wheels need a library that isn't there."""
+    """Raises BuildError if a shared library that the installed wheels need is missing."""
     missing = libraries.missing_libraries(libraries.system_libraries(DEPS))
     if missing:
         named = ", ".join(libraries.describe(name) for name in missing)
@@ -91,7 +91,7 @@
 
 
 def copy_sources(projects: list[pathlib.Path]) -> None:
-    """Puts our own packages, compiled, beside the outside libraries."""
+    """Copies the packages of this repository beside the third-party ones, and compiles them."""
     for project in projects:
         for package in (project.parent / "src").iterdir():
             if not package.is_dir() or package.suffix == ".egg-info":
@@ -103,10 +103,10 @@
 
 
 def main() -> int:
-    """Builds; the exit status is 1 when something is missing."""
+    """Builds; returns the exit status, 1 if something is missing."""
     projects = product_projects()
     try:
-        install(outside_requirements(projects))
+        install(third_party_requirements(projects))
         check_libraries()
     except BuildError as error:
         print(f"build: {error}", file=sys.stderr)
--- a/deploy/libraries.py
+++ b/deploy/libraries.py
@@ -1,8 +1,8 @@
 """The shared libraries that installed wheels load, and the Debian package of each.
 
-A wheel with compiled parts brings some shared libraries along and expects the
-others of the system. Both are read from the ELF headers, with no tool of the
-system's, since a machine has no more than `packages` in system.toml lists.
+A wheel with compiled parts contains some shared libraries and expects the others from the
+system. Both are read from the ELF headers, without external tools, since a machine has only
+the `packages` that system.toml lists.
 """
 
 import ctypes
@@ -10,7 +10,7 @@
 import struct
 from dataclasses import dataclass
 
-# Debian's package of each system library that a manylinux wheel may expect.
+# The Debian package of each system library that a manylinux wheel may expect.
 PACKAGE_OF_LIBRARY = {
     "ld-linux-x86-64.so.2": "libc6",
     "libc.so.6": "libc6",
@@ -33,35 +33,35 @@
 TAG_END, TAG_NEEDED, TAG_STRING_TABLE = 0, 1, 5
 
 
-class NotReadable(ValueError):
-    """An ELF file of another kind than the 64-bit little-endian ones."""
+class UnsupportedElfFile(ValueError):
+    """The ELF file isn't a 64-bit little-endian one, or its headers are inconsistent."""
 
 
 @dataclass(frozen=True)
 class Segment:
-    """One program header: where a part of the file lies when it is loaded."""
+    """One program header: a part of the file and the address at which it is loaded."""
 
     kind: int
     offset: int
     address: int
     size: int
 
-    def holds(self, address: int) -> bool:
-        """Whether the loaded address lies in this segment."""
+    def contains(self, address: int) -> bool:
+        """Whether the loaded segment contains the address."""
         return self.address <= address < self.address + self.size
 
 
 def is_elf(path: pathlib.Path) -> bool:
-    """Whether the file begins as an ELF file does."""
+    """Whether the file starts with the ELF magic number."""
     with path.open("rb") as file:
         return file.read(len(ELF_MAGIC)) == ELF_MAGIC
 
 
 def needed_libraries(path: pathlib.Path) -> set[str]:
-    """The names of the libraries that an ELF file asks the loader for (DT_NEEDED)."""
+    """The names of the shared libraries that an ELF file requires (DT_NEEDED)."""
     data = path.read_bytes()
     if data[4:6] != ELF_CLASS_64_LITTLE_ENDIAN:
-        raise NotReadable(f"{path}: not a 64-bit little-endian ELF file")
+        raise UnsupportedElfFile(f"{path}: not a 64-bit little-endian ELF file")
     segments = read_segments(data)
     entries = read_dynamic_entries(data, segments)
     tables = [value for tag, value in entries if tag == TAG_STRING_TABLE]
@@ -98,11 +98,11 @@
 
 
 def file_offset(segments: list[Segment], address: int) -> int:
-    """Where in the file the byte of a loaded address stands."""
+    """The file offset of the byte that is loaded at an address."""
     for segment in segments:
-        if segment.kind == SEGMENT_LOADED and segment.holds(address):
+        if segment.kind == SEGMENT_LOADED and segment.contains(address):
             return address - segment.address + segment.offset
-    raise NotReadable(f"no loaded segment holds the address {address:#x}")
+    raise UnsupportedElfFile(f"no loaded segment holds the address {address:#x}")
 
 
 def read_string(data: bytes, offset: int) -> str:
@@ -111,22 +111,22 @@
 
 
 def system_libraries(folder: pathlib.Path) -> set[str]:
-    """What the ELF files below a folder need and don't bring along themselves."""
+    """The libraries that the ELF files below a folder need and that aren't among them."""
     files = [path for path in folder.rglob("*.so*") if path.is_file() and is_elf(path)]
-    brought = {path.name for path in files}
+    included = {path.name for path in files}
     needed: set[str] = set()
     for path in files:
         needed |= needed_libraries(path)
-    return needed - brought
+    return needed - included
 
 
 def missing_libraries(names: set[str]) -> list[str]:
-    """Those of the named libraries that this system can't load."""
+    """The libraries among `names` that this system can't load, sorted."""
     return sorted(name for name in names if not can_load(name))
 
 
 def can_load(name: str) -> bool:
-    """Whether the loader finds a shared library by its name."""
+    """Whether the loader can load a shared library by its name."""
     try:
         ctypes.CDLL(name)
     except OSError:
@@ -135,6 +135,6 @@
 
 
 def describe(name: str) -> str:
-    """A library with the package to install for it."""
+    """A library's name with the Debian package that provides it."""
     package = PACKAGE_OF_LIBRARY.get(name)
     return f"{name} (Debian package {package})" if package else f"{name} (package unknown)"
--- a/tests/test_deploy_packages.py
+++ b/tests/test_deploy_packages.py
@@ -24,7 +24,7 @@
 
 def installed_files():
     """The ELF files of every distribution that the product asks for, with what those ask for."""
-    wanted = [name_of(word) for word in build.outside_requirements(build.product_projects())]
+    wanted = [name_of(word) for word in build.third_party_requirements(build.product_projects())]
     seen = set()
     files = []
     while wanted:
@@ -82,7 +82,7 @@
     assert not libraries.is_elf(path)
     other = tmp_path / "other.so"
     other.write_bytes(b"\x7fELF\x01\x01" + bytes(100))
-    with pytest.raises(libraries.NotReadable):
+    with pytest.raises(libraries.UnsupportedElfFile):
         libraries.needed_libraries(other)
 
 
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -268,7 +268,7 @@
             (421, {"x-try-id": "t2"}, "foreign"),
         ):
             self.assertThat(
-                callers.judged(told, Head(code, "", tuple(head.items()))),
+                callers.classify_response(told, Head(code, "", tuple(head.items()))),
                 Equals(whose),
                 f"{code} {head}",
             )
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -105,7 +105,7 @@
             self.assertIsInstance(settings.read("counter"), failures.ConfigWrong)
         del os.environ["PULLEYHITCH_BOOT"]
         self.assertIsInstance(settings.read("counter"), failures.ConfigWrong)
-        self.assertThat(settings.Followed()(), Equals(None))
+        self.assertThat(settings.SettingsWatcher()(), Equals(None))
 
     def test_each_field_that_is_needed_is_named(self):
         for field in (
@@ -133,7 +133,7 @@
 
     def test_seeds_that_change_are_told_once(self):
         self.write(TOLD)
-        followed = settings.Followed()
+        followed = settings.SettingsWatcher()
         self.assertThat(followed(), Equals(["10.1.0.15:7660", "10.2.0.25:7660"]))
         self.assertThat(followed(), Equals(None))
         self.write({**TOLD, "seedNodes": ["10.3.0.1:8146"]})
--- a/tests/test_tenant_headers.py
+++ b/tests/test_tenant_headers.py
@@ -35,7 +35,7 @@
 
 def sent_to_engine(told, leg):
     """[(name, value)] of a leg's header lines, names in small letters."""
-    lines = [line.partition(":") for line in callers.leg_headers(told, leg, 0)]
+    lines = [line.partition(":") for line in callers.attempt_headers(told, leg, 0)]
     return [(name.strip(";").lower(), value.strip()) for name, _, value in lines]
 
 
@@ -84,7 +84,9 @@
 
     def test_a_name_of_any_letters_goes_as_its_bytes(self):
         leg = Leg("e1", "http://e1", 1000.0, 3, tenant="č-åß")
-        (line,) = [h for h in callers.leg_headers(told_of([]), leg, 0) if h.startswith("X-Sender")]
+        (line,) = [
+            h for h in callers.attempt_headers(told_of([]), leg, 0) if h.startswith("X-Sender")
+        ]
         self.assertThat(line.encode("latin1"), Equals("X-Sender: č-åß".encode()))
 
 
