--- a/deploy/libraries.py
+++ b/deploy/libraries.py
@@ -102,7 +102,7 @@
     for segment in segments:
         if segment.kind == SEGMENT_LOADED and segment.contains(address):
             return address - segment.address + segment.offset
-    raise UnsupportedElfFile(f"no loaded segment holds the address {address:#x}")
+    raise UnsupportedElfFile(f"no loaded segment contains the address {address:#x}")
 
 
 def read_string(data: bytes, offset: int) -> str:
