--- a/tests/test_answers_kept.py
+++ b/tests/test_change_answers.py
@@ -1,4 +1,4 @@
-"""Answers kept under their changes' ids: within some bytes, the newest always."""
+"""The answers to changes are kept within bounds, and the newest one always."""
 
 import json
 import random
@@ -11,8 +11,8 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 
-def wrong(number, routes=200):
-    """A document of which each route is refused with a long text."""
+def invalid_document(number, routes=200):
+    """A document whose routes are all invalid, with long texts in the failures."""
     found = made.configuration(random.Random(number), 5, routes=3)
     route = {**found["routes"][0], "transitLimitMs": "x" * 5000}
     found["routes"] = [{**route, "name": f"{n}.{'long' * 50}"} for n in range(routes)]
@@ -22,14 +22,14 @@
     return found
 
 
-class Kept(TestCase):
+class KeptAnswers(TestCase):
     def setUp(self):
         super().setUp()
         self.registry = registries.Registry(reader=configuration.READER)
         self.send("first", made.configuration(random.Random(1), 1), 0)
 
-    def send(self, change, told, expect):
-        body = {"expect": expect, "written": told, "partial": False, "change": change}
+    def send(self, change, document, expect):
+        body = {"expect": expect, "written": document, "partial": False, "change": change}
         record, answer, failure = registries.decide(self.registry, "written", body)
         if record is not None:
             registries.apply(self.registry, record)
@@ -37,15 +37,15 @@
 
     def test_hundreds_of_refusals_take_bounded_bytes(self):
         self.patch(change_answers, "MAX_TOTAL_BYTES", 64 << 10)
-        told = wrong(1, routes=101)
+        document = invalid_document(1, routes=101)
         for number in range(60):
-            record, _, failure = self.send(f"c{number}", told, 1)
+            record, _, failure = self.send(f"c{number}", document, 1)
             self.assertThat(len(record), LessThan(6000))
-            self.assertThat(len(failure.fields), Equals(100), "the first answer is whole")
+            self.assertThat(len(failure.fields), Equals(100), "the first answer isn't truncated")
         size = len(json.dumps(self.registry.changes))
         self.assertThat(size, LessThan((64 << 10) + 20_000))
         self.assertThat(len(registries.dump(self.registry)), LessThan(100_000))
-        _, _, again = self.send("c59", told, 1)
+        _, _, again = self.send("c59", document, 1)
         self.assertThat(again.status, Equals(422))
         self.assertThat(again.body["failure"], Equals("layout-wrong"))
         self.assertThat(len(again.body["fields"]), GreaterThan(0))
@@ -59,14 +59,14 @@
         _, _, again = self.send(f"{change_answers.MAX_ANSWERS + 49:032d}", {}, 0)
         self.assertThat(again.status, Equals(409))
 
-    def test_all_who_follow_keep_the_same(self):
-        """Also one that was started from a checkpoint on the way."""
+    def test_all_followers_keep_the_same_answers(self):
+        """Also a follower that was started from a checkpoint in between."""
         self.patch(change_answers, "MAX_TOTAL_BYTES", 64 << 10)
         follower = registries.load(registries.dump(self.registry), reader=configuration.READER)
         rng = random.Random(3)
         for number in range(120):
-            told = wrong(number, routes=rng.randrange(1, 60))
-            record, _, _ = self.send(f"c{number}", told, 1)
+            document = invalid_document(number, routes=rng.randrange(1, 60))
+            record, _, _ = self.send(f"c{number}", document, 1)
             registries.apply(follower, record)
             if number % 30 == 20:
                 follower = registries.load(registries.dump(follower), reader=configuration.READER)
@@ -74,7 +74,7 @@
         self.assertThat(list(follower.changes), Equals(list(self.registry.changes)))
 
     def test_a_very_long_text_is_cut(self):
-        told = made.configuration(random.Random(4), 5)
-        told["routes"][0]["transitLimitMs"] = "x" * 1_000_000
-        record, _, _ = self.send("long", told, 1)
+        document = made.configuration(random.Random(4), 5)
+        document["routes"][0]["transitLimitMs"] = "x" * 1_000_000
+        record, _, _ = self.send("long", document, 1)
         self.assertThat(len(record), LessThan(6000))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,5 +1,5 @@
-"""The codec spells every message as construct, told the same layout, does: the same
-bytes, the same values back, and the same bodies refused."""
+"""The codec agrees with the library construct, given the same layout: it writes the same bytes,
+reads the same values back, and refuses the same bodies."""
 
 import dataclasses
 import functools
@@ -47,12 +47,12 @@
 def as_construct(value):
     if dataclasses.is_dataclass(value):
         return {f.name: as_construct(getattr(value, f.name)) for f in dataclasses.fields(value)}
-    return [as_construct(one) for one in value] if isinstance(value, tuple) else value
+    return [as_construct(item) for item in value] if isinstance(value, tuple) else value
 
 
 def from_construct(kind, parsed):
     if typing.get_origin(kind) is tuple:
-        return tuple(from_construct(typing.get_args(kind)[0], one) for one in parsed)
+        return tuple(from_construct(typing.get_args(kind)[0], item) for item in parsed)
     if dataclasses.is_dataclass(kind):
         hints = typing.get_type_hints(kind)
         return kind(**{name: from_construct(hints[name], parsed[name]) for name in hints})
@@ -70,7 +70,7 @@
 
 
 def read_by_construct(kind, body):
-    """The value, or None where construct refuses the body."""
+    """The value, or None if construct refuses the body."""
     try:
         return from_construct(kind, layout(kind).parse(body))
     except (c.ConstructError, UnicodeDecodeError):
@@ -111,8 +111,8 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.integers(0, 2**63 - 1), st.integers(0, 2**63 - 1), st.integers(0, 2**63 - 1), st.binary())
-def test_a_segment_entry_is_headed_as_construct_would(index, term, known, body):
-    head = c.Struct(
+def test_the_header_of_a_segment_entry_agrees_with_construct(index, term, known, body):
+    layout_of_header = c.Struct(
         "magic" / c.Const(b"PHL1"),
         "index" / c.Int64ub,
         "term" / c.Int64ub,
@@ -122,14 +122,14 @@
         "headCrc" / c.Int32ub,
     )
     data = segment_format.pack(messages.Entry(index, term, body), known)
-    told = head.parse(data)
-    assert (told.index, told.term, told.known, told.size) == (index, term, known, len(body))
-    assert told.crc == segment_format.zlib.crc32(body)
-    assert told.headCrc == segment_format.zlib.crc32(data[:36])
+    header = layout_of_header.parse(data)
+    assert (header.index, header.term, header.known, header.size) == (index, term, known, len(body))
+    assert header.crc == segment_format.zlib.crc32(body)
+    assert header.headCrc == segment_format.zlib.crc32(data[:36])
     assert segment_format.scan(data).entries == (messages.Entry(index, term, body),)
 
 
-# Cards' bytes are kept: one that differs in a single field must not get another's.
+# Encodings of NodeInfo are cached: instances that differ in a single field must not share one.
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(
     st.lists(
@@ -138,8 +138,8 @@
         max_size=12,
     )
 )
-def test_records_that_are_written_again_keep_their_own_bytes(cards):
-    greet = functools.partial(messages.Gossip, messages.NodeInfo(*[""] * 6), False, group=NO_GROUP)
+def test_cached_encodings_are_not_mixed_up(node_infos):
+    gossip = functools.partial(messages.Gossip, messages.NodeInfo(*[""] * 6), False, group=NO_GROUP)
     for _ in range(2):
-        value = greet(nodes=tuple(cards))
+        value = gossip(nodes=tuple(node_infos))
         assert codec.to_bytes(value) == layout(messages.Gossip).build(as_construct(value))
--- a/tests/test_compression.py
+++ b/tests/test_compression.py
@@ -1,4 +1,4 @@
-"""Frames of long messages are compressed, and whatever arrives is read back or refused."""
+"""Long messages are compressed in their frames; bodies are read back unchanged or refused."""
 
 import random
 import zlib
@@ -16,40 +16,40 @@
 ]
 
 
-def news(count=1):
+def feed_entries(count=1):
     body = b"".join(RECORDS)
     return FeedEntries(3, 9, tuple(Entry(n, 3, body) for n in range(count)))
 
 
-def test_news_of_the_log_takes_less_than_half():
+def test_log_entries_take_less_than_half():
     plain = sum(map(len, RECORDS))
-    assert len(frames.pack(news())) < 0.5 * plain
-    assert len(frames.pack(news(20))) < 0.1 * 20 * plain
+    assert len(frames.pack(feed_entries())) < 0.5 * plain
+    assert len(frames.pack(feed_entries(20))) < 0.1 * 20 * plain
 
 
 @pytest.mark.parametrize("count", (1, 2, 40, 400))
-def test_what_was_packed_is_read_back(count):
-    data = frames.pack(news(count))
-    intake, found = frames.FrameBuffer(), []
+def test_packed_messages_are_read_back(count):
+    data = frames.pack(feed_entries(count))
+    buffer, found = frames.FrameBuffer(), []
     for at in range(0, len(data), 1000):
-        messages, broken = frames.receive(intake, data[at : at + 1000])
+        messages, broken = frames.receive(buffer, data[at : at + 1000])
         assert broken is None
         found += messages
-    assert found == [news(count)]
+    assert found == [feed_entries(count)]
 
 
-def test_short_ones_and_noise_go_as_they_are():
+def test_short_and_random_bodies_are_not_compressed():
     assert compression.compress(b"x" * 100) is None
     assert compression.compress(random.Random(1).randbytes(4000)) is None
 
 
-def test_spoilt_bytes_are_refused():
+def test_corrupt_bytes_are_refused():
     rng, whole = random.Random(2), compression.compress(b"".join(RECORDS) * 3)
     for _ in range(300):
-        spoilt = bytearray(whole)
-        spoilt[rng.randrange(len(spoilt))] ^= 1 << rng.randrange(8)
+        corrupt = bytearray(whole)
+        corrupt[rng.randrange(len(corrupt))] ^= 1 << rng.randrange(8)
         with pytest.raises(compression.DecompressionError):
-            found = compression.decompress(bytes(spoilt), 1 << 20)
+            found = compression.decompress(bytes(corrupt), 1 << 20)
             assert found != b"".join(RECORDS) * 3
             raise compression.DecompressionError
     for cut in range(len(whole)):
@@ -59,11 +59,11 @@
         compression.decompress(whole + b"x", 1 << 20)
 
 
-def test_no_more_is_restored_than_allowed():
-    bomb = compression.compress(b"a" * (1 << 22))
-    assert len(bomb) < 1 << 14
+def test_no_more_is_decompressed_than_allowed():
+    compressed = compression.compress(b"a" * (1 << 22))
+    assert len(compressed) < 1 << 14
     with pytest.raises(compression.DecompressionError):
-        compression.decompress(bomb, 1 << 20)
+        compression.decompress(compressed, 1 << 20)
 
 
 def test_another_dictionary_is_refused():
--- a/tests/test_deploy_packages.py
+++ b/tests/test_deploy_packages.py
@@ -1,4 +1,4 @@
-"""The system packages that deploy/system.toml lists, against what is really loaded."""
+"""The packages that deploy/system.toml lists match the libraries that are loaded."""
 
 import importlib.metadata
 import pathlib
@@ -13,7 +13,7 @@
 import build  # noqa: E402
 import libraries  # noqa: E402
 
-# What `build` and `run` call, apart from shared libraries.
+# Packages whose programs or data `build` and `run` use, apart from shared libraries.
 TOOLS = {"python3", "python3-pip", "ca-certificates"}
 
 
@@ -23,12 +23,12 @@
 
 
 def installed_files():
-    """The ELF files of every distribution that the product asks for, with what those ask for."""
-    wanted = [name_of(word) for word in build.third_party_requirements(build.product_projects())]
+    """The ELF files of every distribution that is required, directly or indirectly."""
+    required = [name_of(word) for word in build.third_party_requirements(build.product_projects())]
     seen = set()
     files = []
-    while wanted:
-        name = wanted.pop()
+    while required:
+        name = required.pop()
         if name in seen:
             continue
         seen.add(name)
@@ -36,7 +36,7 @@
         files += [pathlib.Path(str(distribution.locate_file(f))) for f in distribution.files or ()]
         for requirement in distribution.requires or ():
             if ";" not in requirement:
-                wanted.append(name_of(requirement))
+                required.append(name_of(requirement))
     return [
         path for path in files if ".so" in path.name and path.is_file() and libraries.is_elf(path)
     ]
@@ -51,9 +51,9 @@
 
 
 def loaded_libraries():
-    """What the installed wheels expect of the system."""
+    """The shared libraries that the installed wheels expect from the system."""
     files = installed_files()
-    assert files, "no compiled part was found: the test would show nothing"
+    assert files, "no compiled file was found: the test would check nothing"
     needed = set().union(*(libraries.needed_libraries(path) for path in files))
     return needed - {path.name for path in files}
 
@@ -61,13 +61,13 @@
 def test_each_loaded_library_comes_with_a_listed_package():
     unknown = loaded_libraries() - set(libraries.PACKAGE_OF_LIBRARY)
     assert unknown == set()
-    wanted = {libraries.PACKAGE_OF_LIBRARY[name] for name in loaded_libraries()}
-    assert wanted <= set(listed_packages())
+    required = {libraries.PACKAGE_OF_LIBRARY[name] for name in loaded_libraries()}
+    assert required <= set(listed_packages())
 
 
 def test_each_listed_package_is_a_tool_or_holds_a_loaded_library():
-    wanted = {libraries.PACKAGE_OF_LIBRARY[name] for name in loaded_libraries()}
-    assert set(listed_packages()) == TOOLS | wanted
+    required = {libraries.PACKAGE_OF_LIBRARY[name] for name in loaded_libraries()}
+    assert set(listed_packages()) == TOOLS | required
     assert len(listed_packages()) == len(set(listed_packages()))
 
 
@@ -76,7 +76,7 @@
     assert "libc.so.6" in libraries.needed_libraries(path)
 
 
-def test_a_foreign_file_is_told_apart(tmp_path):
+def test_other_files_are_recognised(tmp_path):
     path = tmp_path / "text.so"
     path.write_text("not a library")
     assert not libraries.is_elf(path)
@@ -86,9 +86,9 @@
         libraries.needed_libraries(other)
 
 
-def test_a_library_that_is_missing_is_named_with_its_package(monkeypatch, tmp_path, capsys):
+def test_a_missing_library_is_named_with_its_package(monkeypatch, tmp_path, capsys):
     monkeypatch.setattr(build, "install", lambda requirements: None)
-    monkeypatch.setattr(build, "copy_sources", lambda projects: pytest.fail("built on"))
+    monkeypatch.setattr(build, "copy_sources", lambda projects: pytest.fail("the build went on"))
     monkeypatch.setattr(libraries, "system_libraries", lambda folder: {"libstdc++.so.6"})
     monkeypatch.setattr(libraries, "can_load", lambda name: False)
     assert build.main() == 1
--- a/tests/test_waybill.py
+++ b/tests/test_frames.py
@@ -1,5 +1,5 @@
-"""Frames and messages: whatever is said arrives the same; what is broken is
-typed, and closes only the pipe it came on."""
+"""Frames and connections: messages arrive unchanged; an invalid frame is a typed failure and
+closes only the connection that carried it."""
 
 import queue
 import random
@@ -16,18 +16,18 @@
 from transport.connections import Connections
 from transport.messages import LeaseRelease
 
-CARD = messages.NodeInfo("n", "counter", "z", "127.0.0.1:1", "127.0.0.1:2", "i")
-HELLO = messages.Gossip(CARD, False, (), messages.GroupCard("", 0, 0, "", ()))
+NODE_INFO = messages.NodeInfo("n", "counter", "z", "127.0.0.1:1", "127.0.0.1:2", "i")
+GREETING = messages.Gossip(NODE_INFO, False, (), messages.GroupCard("", 0, 0, "", ()))
 
 
-def made_up(kind, rng):
+def random_value(kind, rng):
     """A random value of any type that messages use."""
     if is_dataclass(kind):
         hints = typing.get_type_hints(kind)
-        return kind(*(made_up(hints[f.name], rng) for f in fields(kind)))
+        return kind(*(random_value(hints[f.name], rng) for f in fields(kind)))
     if typing.get_origin(kind) is tuple:
         inner = typing.get_args(kind)[0]
-        return tuple(made_up(inner, rng) for _ in range(rng.randrange(4)))
+        return tuple(random_value(inner, rng) for _ in range(rng.randrange(4)))
     return {
         int: lambda: rng.randrange(-(2**62), 2**62),
         bool: lambda: rng.random() < 0.5,
@@ -38,22 +38,22 @@
 
 
 class Frames(TestCase):
-    def test_every_message_in_any_cutting(self):
+    def test_every_message_in_pieces_of_any_size(self):
         rng = random.Random(7)
-        sent = [made_up(kind, rng) for kind in messages.KIND_OF for _ in range(5)]
+        sent = [random_value(kind, rng) for kind in messages.KIND_OF for _ in range(5)]
         data = b"".join(frames.pack(m) for m in sent)
-        intake, got = frames.FrameBuffer(), []
+        buffer, got = frames.FrameBuffer(), []
         while data:
             size = rng.randrange(1, 900)
-            found, broken = frames.receive(intake, data[:size])
+            found, broken = frames.receive(buffer, data[:size])
             self.assertThat(broken, Equals(None))
             got += found
             data = data[size:]
         self.assertThat(got, Equals(sent))
 
-    def test_any_flipped_byte_is_typed(self):
+    def test_any_flipped_byte_is_a_typed_failure(self):
         rng = random.Random(8)
-        whole = frames.pack(HELLO)
+        whole = frames.pack(GREETING)
         causes = set()
         for at in range(len(whole)):
             bad = bytearray(whole)
@@ -64,7 +64,7 @@
                 causes.add(broken.cause)
         self.assertTrue(causes >= {"magic", "kind", "checksum"}, causes)
 
-    def test_oversized_and_nonsense(self):
+    def test_oversized_frames_and_random_bodies(self):
         head = struct.pack(">4sHII", b"PHW1", 1, frames.LIMIT_BYTES + 1, 0)
         self.assertThat(
             frames.receive(frames.FrameBuffer(), head)[1], Equals(frames.BrokenFrame("oversized"))
@@ -77,63 +77,65 @@
                 pass
 
 
-class OnPipes(TestCase):
-    def test_a_broken_frame_closes_only_its_pipe(self):
-        got, notes = queue.Queue(), queue.Queue()
+class OnConnections(TestCase):
+    def test_a_broken_frame_closes_only_its_connection(self):
+        got, log_lines = queue.Queue(), queue.Queue()
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = "127.0.0.1:%d" % free.getsockname()[1]
-        pipes = Connections(
+        connections = Connections(
             address,
-            lambda: HELLO,
+            lambda: GREETING,
             lambda s, m: got.put((s, m)),
-            lambda what, facts: notes.put((what, facts)),
+            lambda event, facts: log_lines.put((event, facts)),
             2000,
         )
-        self.addCleanup(pipes.close)
+        self.addCleanup(connections.close)
         host, port = address.split(":")
         good = socket.create_connection((host, int(port)))
         bad = socket.create_connection((host, int(port)))
-        rude = socket.create_connection((host, int(port)))
-        for sock in (good, bad, rude):
+        without_greeting = socket.create_connection((host, int(port)))
+        for sock in (good, bad, without_greeting):
             self.addCleanup(sock.close)
             sock.settimeout(20)
-        good.sendall(frames.pack(HELLO))
-        bad.sendall(frames.pack(HELLO) + b"PHW1 this is no frame at all")
-        rude.sendall(frames.pack(messages.TransferLeadership(1)))
+        good.sendall(frames.pack(GREETING))
+        bad.sendall(frames.pack(GREETING) + b"PHW1 this is no frame at all")
+        without_greeting.sendall(frames.pack(messages.TransferLeadership(1)))
         self.assertThat(bad.recv(1), Equals(b""))
-        self.assertThat(rude.recv(1), Equals(b""))
+        self.assertThat(without_greeting.recv(1), Equals(b""))
         good.sendall(frames.pack(messages.TransferLeadership(9)))
         seen = [got.get(timeout=20) for _ in range(3)]
-        self.assertIn((CARD.address, messages.TransferLeadership(9)), seen)
+        self.assertIn((NODE_INFO.address, messages.TransferLeadership(9)), seen)
         self.assertThat(
-            {notes.get(timeout=20)[0] for _ in range(2)},
+            {log_lines.get(timeout=20)[0] for _ in range(2)},
             Equals({"connection-broken", "connection-without-greeting"}),
         )
 
 
 class Redialled(TestCase):
-    def test_what_was_seen_of_an_old_socket_says_nothing(self):
-        """A line that broke and was dialled again between a look and its handling: the
-        watching thread goes on, and what is sent arrives."""
-        got, notes = queue.Queue(), []
+    def test_readiness_of_an_old_socket_is_ignored(self):
+        """A connection may break and be dialled again after the selector has reported its old
+        socket and before that is handled: the watching thread goes on, and messages arrive."""
+        got, log_lines = queue.Queue(), []
         addresses = [f"127.0.0.1:{p}" for p in free_ports(2)]
         here, there = (
-            Connections(a, lambda: HELLO, lambda s, m: got.put(m), lambda *n: notes.append(n), 500)
+            Connections(
+                a, lambda: GREETING, lambda s, m: got.put(m), lambda *n: log_lines.append(n), 500
+            )
             for a in addresses
         )
         self.addCleanup(here.close)
         self.addCleanup(there.close)
         for turn in range(200):
             here.send(addresses[1], LeaseRelease("n", turn, 1, ""))
-            connection = here._outgoing[addresses[1]]
-            old = connection.sock
+            outgoing = here._outgoing[addresses[1]]
+            old = outgoing.sock
             with here._lock:
                 if old is not None:
-                    here._disconnect(connection, "test")
-                connection.redial_s = 0.0
-                here._dial(connection)
+                    here._disconnect(outgoing, "test")
+                outgoing.redial_s = 0.0
+                here._dial(outgoing)
                 if old is not None:
-                    here._on_outgoing(connection, old, selectors.EVENT_READ | selectors.EVENT_WRITE)
+                    here._on_outgoing(outgoing, old, selectors.EVENT_READ | selectors.EVENT_WRITE)
         here.send(addresses[1], LeaseRelease("n", 999, 1, ""))
         while got.get(timeout=10) != LeaseRelease("n", 999, 1, ""):
             pass
--- a/tests/test_manifest.py
+++ b/tests/test_layouts.py
@@ -1,4 +1,4 @@
-"""Layout checking and merging against a plain model, and the registry's rules."""
+"""Merging of layouts against a plain model, validation of changes, and templates."""
 
 import copy
 import json
@@ -24,7 +24,7 @@
 
 
 def flat(value, path=()):
-    """A plain model of merging: a layout as a set of paths."""
+    """A layout as (path, JSON value) pairs, for the plain model of merging."""
     if isinstance(value, dict) and value:
         for key, inner in value.items():
             yield from flat(inner, path + (key,))
@@ -32,23 +32,23 @@
         yield path, json.dumps(value)
 
 
-def plain_patch(base, patch):
+def model_merge(base, patch):
     paths = dict(flat(base)) if base else {}
-    for path, told in flat(patch):
+    for path, leaf in flat(patch):
         for step in range(1, len(path) + 1):
             paths.pop(path[:step], None)
-        if told == "null" or told != "{}":
+        if leaf == "null" or leaf != "{}":
             for old in [p for p in paths if p[: len(path)] == path]:
                 del paths[old]
-        if told != "null" and (told != "{}" or not any(p[: len(path)] == path for p in paths)):
-            paths[path] = told
+        if leaf != "null" and (leaf != "{}" or not any(p[: len(path)] == path for p in paths)):
+            paths[path] = leaf
     return paths
 
 
-def tree(rng, depth, nulls):
+def random_tree(rng, depth, nulls):
     if depth == 0 or rng.random() < 0.3:
         return rng.choice([1, 2, "x"] + ([None] if nulls else []))
-    return {k: tree(rng, depth - 1, nulls) for k in rng.sample("abcd", rng.randrange(1, 4))}
+    return {k: random_tree(rng, depth - 1, nulls) for k in rng.sample("abcd", rng.randrange(1, 4))}
 
 
 class Merging(TestCase):
@@ -56,19 +56,19 @@
         checked = 0
         for seed in range(600):
             rng = random.Random(seed)
-            base = {k: tree(rng, 2, False) for k in "abc"}
-            patch = {k: tree(rng, 2, True) for k in rng.sample("abcd", 2)}
-            wanted = plain_patch(base, patch)
+            base = {k: random_tree(rng, 2, False) for k in "abc"}
+            patch = {k: random_tree(rng, 2, True) for k in rng.sample("abcd", 2)}
+            expected = model_merge(base, patch)
             before = copy.deepcopy(base)
-            got = dict(flat(merging.merge_patch(base, patch)))
+            merged = dict(flat(merging.merge_patch(base, patch)))
             self.assertThat(base, Equals(before))
-            leaves = {p: v for p, v in got.items() if v != "{}"}
-            self.assertThat(leaves, Equals({p: v for p, v in wanted.items() if v != "{}"}))
+            leaves = {p: v for p, v in merged.items() if v != "{}"}
+            self.assertThat(leaves, Equals({p: v for p, v in expected.items() if v != "{}"}))
             checked += len(leaves)
         self.assertTrue(checked > 1000)
 
 
-class Deciding(TestCase):
+class Decide(TestCase):
     def setUp(self):
         super().setUp()
         self.reg = registry.Registry(zonesKnown=("north", "middle", "south"))
@@ -100,7 +100,7 @@
         self.assertIsInstance(found, failures.LayoutWrong)
         return found.fields[0].field
 
-    def test_bad_layouts_name_the_field(self):
+    def test_invalid_layouts_name_the_field(self):
         for path, value in (
             (("extra",), 1),
             (("models", "m00", "roomMb"), "20"),
@@ -123,7 +123,7 @@
             self.wrong_field(("weightStore", "atOnce"), 1), Equals("weightStore.atOnce")
         )
 
-    def test_each_partner_keeps_its_own(self):
+    def test_partners_cannot_change_or_break_each_others_sections(self):
         self.assertThat(self.layout(self.section), Equals({"stamp": 1}))
         found = self.do("layout", {"partner": "small", "actor": "other", "section": {}})
         self.assertIsInstance(found, failures.WrongPartner)
@@ -155,8 +155,8 @@
         self.assertThat((first["stamp"], again), Equals((3, {"stamp": 3, "again": True})))
 
     def test_a_late_copy_of_a_change_gets_its_first_answer(self):
-        """Refused, or a change of nothing: a copy that comes when things have
-        changed does nothing, and is told what the first was."""
+        """A copy of a change that was refused or had no effect arrives when the registry has
+        changed: it has no effect, and gets the answer of the first."""
         self.do("engines", {"engines": [ENGINE]})
         same = {"change": "join", "engines": [ENGINE]}
         self.assertTrue(self.do("engines", same)["same"])
@@ -230,7 +230,7 @@
         checked, wrong = merging.check_section({}, "p", found, ())
         self.assertThat((checked, wrong), Equals((found, [])))
 
-    def test_wrong_ones_are_typed(self):
+    def test_invalid_templates_name_the_field(self):
         for found, field in (
             (templates.render(self.TEXT, {"names": [], "room": 1}), None),
             (templates.render(self.TEXT, {"names": ["a"], "room": 1}), "(parameter)"),
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,7 +1,7 @@
-"""The control side's libraries speak the field's terms (see CONTRIBUTING.md).
+"""The libraries of the control side use the terms of the field (see CONTRIBUTING.md).
 
-Words of the withdrawn house style stand in no name, docstring or comment of them.
-Names that are part of a file on disk are strings, and are left alone.
+Words of an earlier naming theme must not occur in their names, docstrings and comments.  Names
+that are part of a file on disk are strings, which aren't checked.
 """
 
 import io
@@ -19,12 +19,12 @@
 
 
 def words_of(path):
-    """Every word of the names, comments and docstrings in a module, in lower case."""
+    """(word in lower case, line) of the names, comments and docstrings of a module."""
     source = path.read_text(encoding="utf8")
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
-        told = token.type in (tokenize.NAME, tokenize.COMMENT)
-        told = told or (token.type == tokenize.STRING and token.string.startswith('"""'))
-        if told:
+        checked = token.type in (tokenize.NAME, tokenize.COMMENT)
+        checked = checked or (token.type == tokenize.STRING and token.string.startswith('"""'))
+        if checked:
             for word in "".join(c if c.isalpha() else " " for c in token.string).split():
                 yield word.lower(), token.start[0]
 
--- a/tests/test_platform_refused.py
+++ b/tests/test_platform_refused.py
@@ -4,7 +4,7 @@
 import random
 
 from simulation import platform_made as made
-from test_platform_written import Operator, exact
+from test_platform_configuration import Operator, exact
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -8,7 +8,7 @@
 from configuration import registry as registries
 from routing import tenants
 from simulation import platform_made as made
-from test_platform_written import Operator, exact
+from test_platform_configuration import Operator, exact
 from testtools import TestCase
 from testtools.matchers import Equals
 from transport import failures
--- a/tests/test_tenant_changes.py
+++ b/tests/test_tenant_changes.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from simulation import platform_made as made
 from test_change_cost import Counting, change, do, good_route
-from test_platform_written import Operator, exact
+from test_platform_configuration import Operator, exact
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
