--- a/tests/test_change_cost.py
+++ b/tests/test_change_cost.py
@@ -1,5 +1,5 @@
-"""Changes to a large configuration: what a change costs follows from what it changes,
-and what it is answered is the same as if all had been checked anew."""
+"""Changes to a large configuration: the cost of a change depends on what it changes only, and its
+answer is the same as if the whole document had been checked."""
 
 import copy
 import hashlib
@@ -20,7 +20,7 @@
 
 
 class Counting:
-    """The reader, with a count of the items that were read; and of those checked."""
+    """A Reader that counts the items that are read, and schemas that count those checked."""
 
     def __init__(self):
         self.read = self.checked = 0
@@ -51,13 +51,13 @@
         return load
 
 
-def change(expect, told, partial=True):
-    digest = hashlib.blake2b(f"{expect}{partial}{told}".encode(), digest_size=16)
-    return {"expect": expect, "written": told, "partial": partial, "change": digest.hexdigest()}
+def change(expect, written, partial=True):
+    digest = hashlib.blake2b(f"{expect}{partial}{written}".encode(), digest_size=16)
+    return {"expect": expect, "written": written, "partial": partial, "change": digest.hexdigest()}
 
 
 def do(registry, body):
-    """The answer to a change, which is applied if it is taken."""
+    """(answer, failure, record) of a change; its record is applied."""
     record, answer, failure = registries.decide(registry, "written", body)
     if record is not None:
         registries.apply(registry, record)
@@ -83,7 +83,7 @@
         route = {**self.whole["routes"][number], "transitLimitMs": 100 + edition}
         return change(edition - 1, {"edition": edition, "upsert": {"routes": [route]}})
 
-    def test_a_change_of_one_item_reads_and_checks_few(self):
+    def test_a_change_of_one_item_reads_and_checks_few_items(self):
         self.send(self.patch_of(2, 0))
         for edition in range(3, 20):
             answer, failure, _ = self.send(self.patch_of(edition, edition))
@@ -91,20 +91,20 @@
             self.assertThat(self.counting.read, LessThan(8))
             self.assertThat(self.counting.checked, LessThan(8))
 
-    def test_a_whole_document_with_one_change_checks_few(self):
+    def test_a_whole_document_with_one_change_checks_few_items(self):
         self.send(self.patch_of(2, 0))
-        told = copy.deepcopy(self.whole)
-        told["edition"], told["routes"][7]["transitLimitMs"] = 3, 77
-        told["routes"][0]["transitLimitMs"] = 102
-        _, failure, record = self.send(change(2, told, partial=False))
+        whole = copy.deepcopy(self.whole)
+        whole["edition"], whole["routes"][7]["transitLimitMs"] = 3, 77
+        whole["routes"][0]["transitLimitMs"] = 102
+        _, failure, record = self.send(change(2, whole, partial=False))
         self.assertThat(failure, Equals(None))
         self.assertThat(self.counting.read, LessThan(8))
         self.assertThat(self.counting.checked, LessThan(8))
         self.assertThat(
-            list(json.loads(record)["set"]["routes"]), Equals([told["routes"][7]["name"]])
+            list(json.loads(record)["set"]["routes"]), Equals([whole["routes"][7]["name"]])
         )
 
-    def test_a_record_is_followed_by_reading_what_it_changes(self):
+    def test_a_follower_reads_only_the_changed_items_of_a_record(self):
         follower = registries.Registry(reader=self.counting.reader)
         records = [do(self.registry, self.patch_of(e, e))[2] for e in range(2, 30)]
         first = registries.decide(
@@ -122,8 +122,8 @@
 SERVICES = [f"s{n}" for n in range(3)]
 
 
-def mostly(good, *others):
-    return st.sampled_from(list(good) * 8 + list(others))
+def mostly(usual, *others):
+    return st.sampled_from(list(usual) * 8 + list(others))
 
 
 def routes():
@@ -178,21 +178,21 @@
                 },
             ),
         },
-    ).map(lambda told: (told, True))
+    ).map(lambda body: (body, True))
     whole = st.fixed_dictionaries(
         {
             "routes": st.lists(routes(), max_size=4),
             "services": st.lists(services(), max_size=3),
             "rest": st.sampled_from([0, 1, 1.0, True]),
         }
-    ).map(lambda told: (told, False))
+    ).map(lambda body: (body, False))
     return st.one_of(partial, partial, partial, whole)
 
 
-class Same(TestCase):
+class SameAnswers(TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.lists(bodies(), max_size=12))
-    def test_the_answers_are_those_of_the_whole_check(self, told):
+    def test_answers_equal_those_of_the_check_of_the_whole(self, changes):
         registry = registries.Registry(reader=READER)
         first = {
             "edition": 1,
@@ -200,19 +200,19 @@
             "services": [{"name": name} for name in SERVICES],
         }
         do(registry, change(0, first, partial=False))
-        taken = 0
-        for turn, (body, partial) in enumerate(told):
+        accepted = 0
+        for turn, (body, partial) in enumerate(changes):
             now = registry.document
             body = {**body, "edition": now["edition"] + 1}
-            wanted = documents.evaluate_change(READER, now, change(now["edition"], body, partial))
+            expected = documents.evaluate_change(READER, now, change(now["edition"], body, partial))
             sent = {**change(now["edition"], body, partial), "change": f"turn {turn}"}
             record, _, failure = registries.decide(registry, "written", sent)
-            assert failure == wanted[1]
+            assert failure == expected[1]
             if failure is None:
-                taken += 1
+                accepted += 1
                 found = json.loads(record)
-                assert {k: found[k] for k in wanted[0]} == json.loads(json.dumps(wanted[0]))
-                assert list(found["set"]["routes"]) == list(wanted[0]["set"]["routes"])
+                assert {k: found[k] for k in expected[0]} == json.loads(json.dumps(expected[0]))
+                assert list(found["set"]["routes"]) == list(expected[0]["set"]["routes"])
             registries.apply(registry, record)
             fresh = checked_document.read_whole(READER, registry.document)
             assert registry.sections[document_facts.OWNER] == documents.to_section(fresh)
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -1,4 +1,4 @@
-"""The adapter's readers take whatever comes: bad input is a typed failure, or nothing."""
+"""The adapter's readers cope with any input: invalid input is a typed failure, or is ignored."""
 
 import copy
 import json
@@ -66,22 +66,22 @@
 }
 
 
-def spoilt(rng, told):
-    """A copy with one or two places replaced by something else."""
-    made = copy.deepcopy(told)
+def corrupted(rng, value):
+    """A copy in which one or two values are replaced."""
+    result = copy.deepcopy(value)
     for _ in range(rng.randrange(1, 3)):
-        at = made
+        at = result
         while True:
             key = rng.choice(list(at) if isinstance(at, dict) else range(len(at)))
             if not isinstance(at[key], (dict, list)) or not at[key] or rng.random() < 0.3:
                 break
             at = at[key]
         at[key] = copy.deepcopy(rng.choice(VALUES))
-    return made
+    return result
 
 
 def torn(rng, data):
-    """Bytes cut, doubled or overwritten somewhere."""
+    """The bytes, truncated, with a part doubled or with one byte overwritten."""
     data, at = bytearray(data), rng.randrange(len(data))
     how = rng.randrange(3)
     if how == 0:
@@ -95,22 +95,29 @@
 
 class Engines(TestCase):
     def test_lists(self):
-        """What is read of a page can be taken by the roster and the registry."""
+        """The roster and the registry accept whatever is read from a page of the engine list."""
         rng, terms = random.Random(1), dispatching.Terms(100.0, 100.0, 100.0)
         for _ in range(2000):
-            page = spoilt(rng, {"engines": [ENTRY, {**ENTRY, "id": "i-2"}], "nextToken": "p-2"})
+            page = corrupted(rng, {"engines": [ENTRY, {**ENTRY, "id": "i-2"}], "nextToken": "p-2"})
             data = json.dumps(page).encode()
             data = torn(rng, data) if rng.random() < 0.3 else data
             found = engines.read_call("list", {"token": ""}, 200, data)
             self.assertIsInstance(found, dict)
-            r, registry = roster.Roster(), registries.Registry()
-            roster.tick(r, 1000.0, terms, "http://p", "0|1")
+            engine_roster, registry = roster.Roster(), registries.Registry()
+            roster.tick(engine_roster, 1000.0, terms, "http://p", "0|1")
             effects, changed = roster.on_called(
-                r, 1001.0, "list:1", CallEnded("", 200, found), registry, terms, "http://p", "0|1"
+                engine_roster,
+                1001.0,
+                "list:1",
+                CallEnded("", 200, found),
+                registry,
+                terms,
+                "http://p",
+                "0|1",
             )
             for effect in effects:
                 engines.call_ask("http://p", "list", {**effect.body, "engine": ""})
-            changed = changed or list(r.found.values())
+            changed = changed or list(engine_roster.found.values())
             if changed:
                 record, _, failure = registries.decide(registry, "engines", {"engines": changed})
                 self.assertThat(failure, Equals(None), str(page)[:300])
@@ -118,21 +125,21 @@
                 [name.encode() for name in registry.engines]
 
     def test_reports(self):
-        """What is read of a report can be settled."""
+        """The placer accepts whatever is read from a report."""
         rng = random.Random(2)
         for _ in range(2000):
-            data = json.dumps(spoilt(rng, REPORT)).encode()
+            data = json.dumps(corrupted(rng, REPORT)).encode()
             data = torn(rng, data) if rng.random() < 0.3 else data
             found = engines.read_call("report", {"engine": "e0"}, 200, data)
             self.assertIsInstance(found, dict)
             registry = registries.Registry(
                 engines={"e0": {"name": "e0", "service": "s", "roomMb": 0, "adapterPlaces": 0}}
             )
-            p = dispatching.Placer(1, 1, ShardLog(1, 1, ready=True))
+            placer = dispatching.Placer(1, 1, ShardLog(1, 1, ready=True))
             for asked_ms in (1.0, 2.0):
-                engine_reports.on_report(p, 3.0, "e0", found, asked_ms, registry)
+                engine_reports.on_report(placer, 3.0, "e0", found, asked_ms, registry)
 
-    def test_nothing_is_read_of_what_failed(self):
+    def test_nothing_is_read_from_failed_calls(self):
         for verb in ("load", "unload", "report", "list"):
             for code in (0, 202, 400, 409, 421, 429, 500, 503):
                 self.assertThat(
@@ -165,7 +172,7 @@
         "\xff",
     ]
 
-    def test_callers(self):
+    def test_requests_of_callers(self):
         rng = random.Random(3)
         names = [
             "X-Try-Id",
@@ -184,28 +191,28 @@
             request = Request(
                 EnvironBuilder("/a/b", method="POST", data=b"x", headers=head).get_environ()
             )
-            told = callers.read_caller(request, "/a/b?c")
-            if isinstance(told, failures.Failure):
+            facts = callers.read_caller(request, "/a/b?c")
+            if isinstance(facts, failures.Failure):
                 continue
-            self.assertThat(0 < told["deadlineMs"] < 10**12, Equals(True))
-            self.assertThat(all(0 <= n < 10**12 for n in told["tokens"]), Equals(True))
+            self.assertThat(0 < facts["deadlineMs"] < 10**12, Equals(True))
+            self.assertThat(all(0 <= n < 10**12 for n in facts["tokens"]), Equals(True))
 
     def test_a_body_that_ends_early_is_a_failure(self):
         for length in ("10", "x", "-1"):
             environ = EnvironBuilder("/a", method="POST", data=b"abc").get_environ()
             environ["CONTENT_LENGTH"] = length
-            told = callers.read_caller(Request(environ), "/a")
-            wanted = failures.BodyMalformed if length == "10" else (dict, failures.Failure)
-            self.assertIsInstance(told, wanted)
+            facts = callers.read_caller(Request(environ), "/a")
+            expected = failures.BodyMalformed if length == "10" else (dict, failures.Failure)
+            self.assertIsInstance(facts, expected)
             environ = EnvironBuilder(
                 "/config", method="PUT", data=b"{}", headers={"If-Match": "0"}
             ).get_environ()
             environ["CONTENT_LENGTH"] = length
-            told = configuration.read_operator(Request(environ))
+            facts = configuration.read_operator(Request(environ))
             if length == "10":
-                self.assertIsInstance(told, failures.Failure)
+                self.assertIsInstance(facts, failures.Failure)
 
-    def test_what_concerns_one_connection_stays(self):
+    def test_fields_of_the_connection_are_dropped(self):
         request = Request(
             EnvironBuilder(
                 "/a",
@@ -253,9 +260,9 @@
         ):
             self.assertThat(callers.event_id(event), Equals(number), event[:20])
 
-    def test_whose_an_answer_is(self):
-        told = {"id": "t1"}
-        for code, head, whose in (
+    def test_classification_of_responses(self):
+        facts = {"id": "t1"}
+        for code, head, expected in (
             (200, {"x-try-id": "t1", "x-postmark": "p"}, "ours"),
             (200, {"x-try-id": "t2", "x-postmark": "p"}, "foreign"),
             (200, {"x-try-id": "t1"}, "foreign"),
@@ -268,8 +275,8 @@
             (421, {"x-try-id": "t2"}, "foreign"),
         ):
             self.assertThat(
-                callers.classify_response(told, Head(code, "", tuple(head.items()))),
-                Equals(whose),
+                callers.classify_response(facts, Head(code, "", tuple(head.items()))),
+                Equals(expected),
                 f"{code} {head}",
             )
 
@@ -298,11 +305,11 @@
                     headers={"If-Match": rng.choice(Heads.WORDS)},
                 ).get_environ()
             )
-            told = configuration.read_operator(request)
-            if isinstance(told, failures.Failure):
-                status, _, body = configuration.operator_answer("", told)
+            facts = configuration.read_operator(request)
+            if isinstance(facts, failures.Failure):
+                status, _, body = configuration.operator_answer("", facts)
                 self.assertThat(
                     (400 <= status < 500, "failure" in json.loads(body)), Equals((True, True))
                 )
             else:
-                self.assertThat(["read", "written", "zone"], Contains(told[0]))
+                self.assertThat(["read", "written", "zone"], Contains(facts[0]))
--- a/tests/test_platform_refused.py
+++ b/tests/test_platform_refused.py
@@ -197,4 +197,4 @@
             taken = operator.registry.document["edition"] > 0
             self.assertThat(taken, Equals(code == 200))
             if taken:
-                self.assertThat(operator.back(), Equals(exact(whole)))
+                self.assertThat(operator.read_back(), Equals(exact(whole)))
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: read in the product's words, or a failure that names what is wrong."""
+"""The settings file is translated, or refused with a failure that names the invalid field."""
 
 import copy
 import json
@@ -8,12 +8,12 @@
 
 from adapter import settings
 from pulleyhitch.config import Config
-from test_platform_readers import spoilt, torn
+from test_platform_readers import corrupted, torn
 from testtools import TestCase
 from testtools.matchers import Equals
 from transport import failures
 
-TOLD = {
+SETTINGS = {
     "nodeName": "counter-a-1",
     "role": "counter",
     "machineClass": "counter",
@@ -56,20 +56,20 @@
         with open(self.path, "wb") as file:
             file.write(data)
 
-    # QUOTA: a tenant got more than its limit.
-    def test_the_promise_about_limits_is_read_where_it_is_told(self):
-        self.write(TOLD)
+    # Guards against QUOTA: with other bounds than those of the file, a tenant gets too much.
+    def test_quota_bounds_are_read_if_present(self):
+        self.write(SETTINGS)
         plain = settings.read("counter").bounds
-        told = (plain.quotaWindowMs, plain.quotaOverrun, plain.quotaAllowance)
-        self.assertThat(told, Equals((5000, 0.1, 20.0)))
+        found = (plain.quotaWindowMs, plain.quotaOverrun, plain.quotaAllowance)
+        self.assertThat(found, Equals((5000, 0.1, 20.0)))
         bounds = {"quotaWindowS": 2.5, "quotaOverrun": 0.2, "quotaAllowance": 30}
-        self.write({**TOLD, "bounds": {**TOLD["bounds"], **bounds}})
+        self.write({**SETTINGS, "bounds": {**SETTINGS["bounds"], **bounds}})
         other = settings.read("counter").bounds
-        told = (other.quotaWindowMs, other.quotaOverrun, other.quotaAllowance)
-        self.assertThat(told, Equals((2500, 0.2, 30.0)))
+        found = (other.quotaWindowMs, other.quotaOverrun, other.quotaAllowance)
+        self.assertThat(found, Equals((2500, 0.2, 30.0)))
 
-    def test_good_ones(self):
-        self.write(TOLD)
+    def test_valid_settings(self):
+        self.write(SETTINGS)
         found = settings.read("counter")
         self.assertIsInstance(found, Config)
         self.assertThat(
@@ -80,13 +80,13 @@
         self.assertThat(
             found.doors, Equals({"callers": "10.1.0.12:8144", "status": "10.1.0.12:8140"})
         )
-        self.write({**TOLD, "dataPath": "/d", "bindings": {"control": "10.1.0.12:8146"}})
+        self.write({**SETTINGS, "dataPath": "/d", "bindings": {"control": "10.1.0.12:8146"}})
         self.assertThat(settings.read("depot").doors, Equals({"operators": "10.1.0.12:8146"}))
 
-    def test_fractions_where_whole_numbers_are_usual(self):
-        """Bounds are whole numbers, fractions, true or false."""
-        told = copy.deepcopy(TOLD)
-        told["bounds"].update(
+    def test_bounds_may_be_fractions(self):
+        """Fractions are accepted for bounds that are usually whole numbers."""
+        changed = copy.deepcopy(SETTINGS)
+        changed["bounds"].update(
             graceS=7.5,
             recoveryS=12.5,
             leaseMs=2500.5,
@@ -94,11 +94,11 @@
             retryWindowS=9.5,
             acknowledgeMs=4000.0,
         )
-        told["provider"]["lagMs"] = 799.5
-        self.write(told)
+        changed["provider"]["lagMs"] = 799.5
+        self.write(changed)
         self.assertIsInstance(settings.read("counter"), Config)
 
-    def test_missing_and_empty(self):
+    def test_missing_and_unreadable_files(self):
         self.assertIsInstance(settings.read("counter"), failures.ConfigWrong)
         for data in (b"", b"{", b"[]", b"7", b"null", b"\xff", b"[" * 9999):
             self.write(data)
@@ -107,7 +107,7 @@
         self.assertIsInstance(settings.read("counter"), failures.ConfigWrong)
         self.assertThat(settings.SettingsWatcher()(), Equals(None))
 
-    def test_each_field_that_is_needed_is_named(self):
+    def test_each_missing_field_is_named(self):
         for field in (
             "nodeName",
             "ip",
@@ -118,30 +118,30 @@
             "bounds",
             "tolerance",
         ):
-            self.write({k: v for k, v in TOLD.items() if k != field})
+            self.write({k: v for k, v in SETTINGS.items() if k != field})
             found = settings.read("counter")
             self.assertIsInstance(found, failures.ConfigWrong)
             self.assertThat(found.field, Equals(field))
 
-    def test_spoilt_ones(self):
+    def test_corrupt_settings(self):
         rng = random.Random(6)
         for _ in range(600):
-            data = json.dumps(spoilt(rng, TOLD)).encode()
+            data = json.dumps(corrupted(rng, SETTINGS)).encode()
             self.write(torn(rng, data) if rng.random() < 0.2 else data)
             found = settings.read(rng.choice(["counter", "depot"]))
             self.assertIsInstance(found, (Config, failures.ConfigWrong))
 
-    def test_seeds_that_change_are_told_once(self):
-        self.write(TOLD)
-        followed = settings.SettingsWatcher()
-        self.assertThat(followed(), Equals(["10.1.0.15:7660", "10.2.0.25:7660"]))
-        self.assertThat(followed(), Equals(None))
-        self.write({**TOLD, "seedNodes": ["10.3.0.1:8146"]})
-        self.assertThat(followed(), Equals(["10.3.0.1:7660"]))
+    def test_changed_seeds_are_reported_once(self):
+        self.write(SETTINGS)
+        watcher = settings.SettingsWatcher()
+        self.assertThat(watcher(), Equals(["10.1.0.15:7660", "10.2.0.25:7660"]))
+        self.assertThat(watcher(), Equals(None))
+        self.write({**SETTINGS, "seedNodes": ["10.3.0.1:8146"]})
+        self.assertThat(watcher(), Equals(["10.3.0.1:7660"]))
         rng = random.Random(7)
         for _ in range(300):
-            data = json.dumps(spoilt(rng, TOLD)).encode()
+            data = json.dumps(corrupted(rng, SETTINGS)).encode()
             self.write(torn(rng, data) if rng.random() < 0.5 else data)
-            found = followed()
+            found = watcher()
             if found is not None:
                 self.assertThat(all(isinstance(s, str) for s in found), Equals(True))
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -1,5 +1,5 @@
-"""Tenants in the platform's configurations: taken whole and in part, read back as sent,
-refused where a key is shared, and given to the product as facts."""
+"""Tenants in the platform's configurations: whole and partial changes, reading back, refusal of
+shared keys, and the facts that the rest of the software gets."""
 
 import json
 import random
@@ -19,12 +19,12 @@
 
 
 def change(edition, upsert=(), remove=()):
-    told = {"edition": edition}
+    body = {"edition": edition}
     if upsert:
-        told["upsert"] = {"senders": list(upsert)}
+        body["upsert"] = {"senders": list(upsert)}
     if remove:
-        told["remove"] = {"senders": list(remove)}
-    return told
+        body["remove"] = {"senders": list(remove)}
+    return body
 
 
 class Held(TestCase):
@@ -42,30 +42,30 @@
         self.assertThat(self.operator.send("PUT", whole, expect)[0], Equals(status))
         if status == 200:
             self.whole = whole
-        self.assertThat(self.operator.back(), Equals(exact(self.whole)))
+        self.assertThat(self.operator.read_back(), Equals(exact(self.whole)))
 
     def patch_tenants(self, upsert=(), remove=(), status=200):
         edition = self.whole["edition"]
-        told = change(edition + 1, upsert, remove)
-        code, answer = self.operator.send("PATCH", told, edition)
+        body = change(edition + 1, upsert, remove)
+        code, answer = self.operator.send("PATCH", body, edition)
         self.assertThat(code, Equals(status), str(answer))
         if status == 200:
-            self.whole = made.patched(self.whole, told)
-        self.assertThat(self.operator.back(), Equals(exact(self.whole)))
+            self.whole = made.patched(self.whole, body)
+        self.assertThat(self.operator.read_back(), Equals(exact(self.whole)))
 
     def keys(self):
-        """The keys by tenant, as the product has them."""
+        """The keys by tenant, as the registry has them."""
         found = registries.tenants(self.operator.registry)
         return {name: facts["keys"] for name, facts in found.items()}
 
 
-class InPart(Held):
-    # A partial change that named tenants got 400 "no such list".
-    def test_a_partial_change_of_tenants_is_taken(self):
+class PartialChanges(Held):
+    # Guards against refusing partial changes that name tenants with 400 "no such list".
+    def test_a_partial_change_of_tenants_is_accepted(self):
         self.patch_tenants([sender("a", "ka"), sender("c", "kd")], ["b"])
         self.assertThat(self.keys(), Equals({"a": ["ka"], "c": ["kd"]}))
 
-    # A partial change that named tenants was refused where the base named none.
+    # Guards against refusing partial changes that name tenants if the base has none.
     def test_tenants_are_added_to_a_configuration_without_any(self):
         self.put(made.configuration(random.Random(8), 5))
         self.assertThat(registries.requires_keys(self.operator.registry), Equals(False))
@@ -74,12 +74,12 @@
         self.patch_tenants([sender("c", "kd")])
         self.assertThat(registries.requires_keys(self.operator.registry), Equals(True))
 
-    # Versions that build on a change of tenants found another version in place.
-    def test_later_changes_build_on_a_change_of_tenants(self):
+    # Guards against refusing changes that are based on a change of tenants.
+    def test_later_changes_are_based_on_a_change_of_tenants(self):
         self.patch_tenants([sender("c", "kd")])
-        told = made.patch(random.Random(9), self.whole, 9)
-        self.assertThat(self.operator.send("PATCH", told, 2)[0], Equals(200))
-        self.assertThat(self.operator.back(), Equals(exact(made.patched(self.whole, told))))
+        body = made.patch(random.Random(9), self.whole, 9)
+        self.assertThat(self.operator.send("PATCH", body, 2)[0], Equals(200))
+        self.assertThat(self.operator.read_back(), Equals(exact(made.patched(self.whole, body))))
 
     # A key that moved to another tenant within one change must not count as shared.
     def test_a_key_moves_within_one_change(self):
@@ -96,32 +96,32 @@
         self.assertThat(self.whole["senders"], Equals([]))
         self.assertThat(registries.requires_keys(self.operator.registry), Equals(True))
 
-    # ROUTE: with the last tenant gone, requests with keys that had been taken away ran again.
-    def test_a_list_without_tenants_lets_nobody_in(self):
+    # Guards against ROUTE: once the last tenant is removed, requests with removed keys run again.
+    def test_an_empty_list_of_tenants_admits_nobody(self):
         self.patch_tenants(remove=["a", "b"])
         credential = tenants.Credential(tenants.digest(b"ka"), False)
         found = tenants.identify(self.operator.registry, credential)
         self.assertIsInstance(found, failures.Unauthorized)
 
 
-class Whole(Held):
-    # A whole configuration without tenants must not keep those of the one before.
-    def test_tenants_go_with_a_whole_configuration_that_names_none(self):
+class WholeChanges(Held):
+    # A whole configuration without tenants must not keep those of the previous one.
+    def test_a_whole_configuration_without_tenants_removes_them(self):
         self.put(made.configuration(random.Random(8), 5))
         self.assertThat(self.keys(), Equals({}))
 
-    # An empty list of tenants must not be lost, nor one appear that was not sent.
+    # An empty list of tenants must be read back, and none must appear that was not sent.
     def test_an_empty_list_reads_back(self):
         self.put({**self.whole, "edition": 2, "senders": []})
         self.put({**self.whole, "edition": 3, "senders": [sender("b", "ka")]})
         self.assertThat(self.keys(), Equals({"b": ["ka"]}))
 
-    # Keys that change hands in a whole configuration must not count as shared.
+    # Keys that move between tenants in a whole configuration must not count as shared.
     def test_keys_are_exchanged(self):
         self.put({**self.whole, "edition": 2, "senders": [sender("b", "ka"), sender("a", "kc")]})
         self.assertThat(self.keys(), Equals({"b": ["ka"], "a": ["kc"]}))
 
-    # What a checkpoint holds of the tenants must be what was in force.
+    # The tenants of a checkpoint must be those that were in force.
     def test_a_checkpoint_keeps_tenants(self):
         self.patch_tenants([sender("c", "kd")], ["a"])
         registry = self.operator.registry
@@ -134,7 +134,7 @@
 
 
 class Facts(Held):
-    # The request path builds on these names.
+    # The request path uses facts by these names.
     def test_the_facts_of_a_tenant(self):
         self.patch_tenants([sender("c", "kd", classOfMail=3, ratePerS=68), sender("d")])
         facts = registries.tenants(self.operator.registry)
@@ -149,15 +149,15 @@
             ),
         )
 
-    # Facts made anew at each request would cost every request.
-    def test_tenants_are_made_once_for_each_configuration(self):
+    # Collecting the tenants anew for each request would slow down every request.
+    def test_tenants_are_cached_until_the_configuration_changes(self):
         registry = self.operator.registry
         first = registries.tenants(registry)
         self.assertThat(registries.tenants(registry) is first, Equals(True))
         self.patch_tenants([sender("c")])
         self.assertThat(sorted(registries.tenants(registry)), Equals(["a", "b", "c"]))
 
-    # Only true opens a route to requests without a key.
+    # A route is public, open to requests without a key, only if the value is true.
     def test_whether_a_route_is_public(self):
         routes = self.whole["routes"]
         for route, public in zip(routes, (True, False, 1)):
@@ -171,7 +171,7 @@
 
 
 class Refused(Held):
-    # Two tenants with one key make a configuration invalid, and the key isn't told.
+    # A key that two tenants share makes a configuration invalid, and the answer doesn't show it.
     def test_a_shared_key(self):
         for upsert in (
             [sender("c", "ka")],
@@ -186,9 +186,9 @@
             self.assertThat("kc-secret" in json.dumps(answer), Equals(False))
             self.put(whole, status=400)
 
-    # What can't be read in full is invalid.
-    def test_wrong_items(self):
-        for wrong in (
+    # An item that can't be read completely makes a configuration invalid.
+    def test_invalid_items(self):
+        for invalid in (
             {"name": "c"},
             {"keys": ["x"]},
             sender("c", ""),
@@ -207,23 +207,23 @@
             "c",
             None,
         ):
-            self.patch_tenants([wrong], status=400)
-            whole = {**self.whole, "edition": 2, "senders": [*self.whole["senders"], wrong]}
+            self.patch_tenants([invalid], status=400)
+            whole = {**self.whole, "edition": 2, "senders": [*self.whole["senders"], invalid]}
             self.put(whole, status=400)
-        for wrong in (None, {}, "a", 7):
-            self.put({**self.whole, "edition": 2, "senders": wrong}, status=400)
-            told = {"edition": 2, "upsert": {"senders": wrong}}
-            self.assertThat(self.operator.send("PATCH", told, 1)[0], Equals(400))
-            told = {"edition": 2, "remove": {"senders": wrong}}
-            self.assertThat(self.operator.send("PATCH", told, 1)[0], Equals(400))
-
-    # Of two operators on one version one wins, and each keeps its answer when it resends.
-    def test_two_operators_race_and_resend(self):
+        for invalid in (None, {}, "a", 7):
+            self.put({**self.whole, "edition": 2, "senders": invalid}, status=400)
+            body = {"edition": 2, "upsert": {"senders": invalid}}
+            self.assertThat(self.operator.send("PATCH", body, 1)[0], Equals(400))
+            body = {"edition": 2, "remove": {"senders": invalid}}
+            self.assertThat(self.operator.send("PATCH", body, 1)[0], Equals(400))
+
+    # Of two changes to one edition one is accepted, and each gets the same answer when repeated.
+    def test_two_operators_race_and_repeat(self):
         one, other = change(2, [sender("c", "kd")]), change(2, [sender("d", "kd")])
-        codes = [self.operator.send("PATCH", told, 1)[0] for told in (one, other)]
+        codes = [self.operator.send("PATCH", body, 1)[0] for body in (one, other)]
         self.assertThat(codes, Equals([200, 412]))
         self.whole = made.patched(self.whole, one)
         self.patch_tenants(remove=["c"])
-        codes = [self.operator.send("PATCH", told, 1)[0] for told in (one, other)]
+        codes = [self.operator.send("PATCH", body, 1)[0] for body in (one, other)]
         self.assertThat(codes, Equals([200, 412]))
-        self.assertThat(self.operator.back(), Equals(exact(self.whole)))
+        self.assertThat(self.operator.read_back(), Equals(exact(self.whole)))
--- a/tests/test_registry_changes.py
+++ b/tests/test_registry_changes.py
@@ -1,5 +1,5 @@
-"""Whatever an operator sends, the holder judges it and goes on: an order that ended one
-holder would be offered to the next, and end them all."""
+"""The lease holder of the registry answers whatever operators send, and goes on: a change that
+crashed one holder would be sent to the next one, and crash them all."""
 
 import random
 
@@ -75,8 +75,8 @@
 )
 
 
-def taken(reader=configuration.READER):
-    """A registry with a written configuration in force."""
+def configured_registry(reader=configuration.READER):
+    """A registry with a configuration in the platform's form in force."""
     registry = registries.Registry(reader=reader, zonesKnown=ZONES)
     whole = made.configuration(random.Random(3), 1, routes=2)
     record, _, failure = registries.decide(
@@ -87,23 +87,23 @@
     return registry
 
 
-class Judged(TestCase):
-    def test_any_order_is_judged(self):
-        registry = taken()
+class Validated(TestCase):
+    def test_any_change_is_validated(self):
+        registry = configured_registry()
 
         @settings(max_examples=600, derandomize=True, deadline=None, database=None)
         @given(BODIES)
-        def judge(order):
-            verb, body = order
+        def validate(change):
+            verb, body = change
             record, answer, failure = registries.decide(registry, verb, body)
             assert (answer is None) != (failure is None) or record is not None
 
-        judge()
+        validate()
 
-    def test_a_zone_that_is_no_name(self):
+    def test_a_zone_that_is_not_a_string(self):
         for zone in ([], {}, [[]], 3, None):
             body = {"zone": zone, "evacuated": True}
-            _, _, failure = registries.decide(taken(), "zone", body)
+            _, _, failure = registries.decide(configured_registry(), "zone", body)
             self.assertThat(failure.tag, Equals("field-wrong"))
 
     def test_a_layout_beside_a_written_configuration(self):
@@ -112,7 +112,7 @@
             ({"partner": "p", "actor": "p", "section": section}, None),
             ({"partner": "floor", "actor": "floor", "section": section}, "field-wrong"),
         ):
-            registry = taken()
+            registry = configured_registry()
             before = registry.sections["floor"]
             record, _, failure = registries.decide(registry, "layout", body)
             self.assertThat(failure and failure.tag, Equals(tag))
@@ -120,9 +120,9 @@
             self.assertThat(registry.sections["floor"], Equals(before))
 
 
-class Holding(TestCase):
-    def test_an_order_that_breaks_its_judge_ends_nobody(self):
-        """A defect of ours in there: the asker is told, and the holder goes on."""
+class HolderGoesOn(TestCase):
+    def test_an_exception_in_validation_stops_no_holder(self):
+        """If validation raises an exception, the operator gets a failure and the holder goes on."""
         cluster = Cluster(3, DIALECT)
         cluster.spin(4000)
         real = registries.decide
@@ -139,11 +139,11 @@
             cluster.spin(1000)
         self.assertThat([outcome.status for outcome in found], Equals([500, 200]))
         self.assertThat(cluster.holder(), Equals(holder))
-        notes = [what for _, what, _ in cluster.world.hosts[holder].notes]
-        self.assertThat(notes.count("not-judged"), Equals(1))
+        events = [event for _, event, _ in cluster.world.hosts[holder].notes]
+        self.assertThat(events.count("not-judged"), Equals(1))
 
-    def test_ids_are_the_node_s_own(self):
-        """Two operators whose bodies bear the same id each get their own answer."""
+    def test_ids_in_bodies_are_ignored(self):
+        """Two operators whose bodies have the same "id" each get their own answer."""
         cluster = Cluster(4, DIALECT)
         cluster.spin(4000)
         found = {}
--- a/tests/test_tenant_changes.py
+++ b/tests/test_tenant_changes.py
@@ -1,5 +1,5 @@
-"""Changes of tenants: their cost follows from what they change, the check of what changed
-agrees with the check of the whole and with a plain model."""
+"""Changes of tenants: their cost depends on what they change only, and the check of the changed
+items agrees with the check of the whole document and with a plain model."""
 
 import copy
 import json
@@ -34,36 +34,36 @@
         for schema in (document_facts.ROUTE, document_facts.SERVICE, document_facts.TENANT):
             self.patch(schema, "load", self.counting.counted_load(schema.load))
 
-    def send(self, edition, told, partial=True):
+    def send(self, edition, body, partial=True):
         self.counting.read = self.counting.checked = 0
         _, failure, record = do(
-            self.registry, change(edition - 1, {**told, "edition": edition}, partial)
+            self.registry, change(edition - 1, {**body, "edition": edition}, partial)
         )
         self.assertThat(failure, Equals(None))
         return record
 
-    def assert_cheap(self):
+    def assert_few_read_and_checked(self):
         self.assertThat(self.counting.read, LessThan(8))
         self.assertThat(self.counting.checked, LessThan(8))
 
-    def part(self, *told):
-        """A change of tenants, each told by its number and the one key that it then has."""
-        pairs = zip(told[::2], told[1::2])
+    def part(self, *numbers_and_keys):
+        """A partial change: of each tenant, given by its number, followed by its one new key."""
+        pairs = zip(numbers_and_keys[::2], numbers_and_keys[1::2])
         items = [{**self.whole["senders"][number], "keys": [key]} for number, key in pairs]
         return {"upsert": {"senders": items}}
 
     # A change of one tenant must not read and check all tenants, routes and services.
-    def test_a_change_of_one_tenant_reads_and_checks_few(self):
+    def test_a_change_of_one_tenant_reads_and_checks_few_items(self):
         self.send(2, self.part(0, "first"))
         for edition in range(3, 20):
             self.send(edition, self.part(edition, f"key {edition}"))
-            self.assert_cheap()
+            self.assert_few_read_and_checked()
         gone = self.whole["senders"][30]["name"]
         self.send(20, {"remove": {"senders": [gone]}})
-        self.assert_cheap()
+        self.assert_few_read_and_checked()
 
-    # Keys that change hands, or are free again, must not cost a check of the whole.
-    def test_keys_that_change_hands_cost_as_little(self):
+    # Keys that move to another tenant, or are free again, must not cost a check of the whole.
+    def test_keys_that_move_cost_as_little(self):
         self.send(2, self.part(0, "first"))
         self.send(3, self.part(1, "one", 2, "two"))
         gone = self.whole["senders"][2]["name"]
@@ -75,22 +75,22 @@
             {"remove": {"senders": [gone]}},
             self.part(4, "two"),
         )
-        for edition, told in enumerate(steps, 4):
-            self.send(edition, told)
-            self.assert_cheap()
+        for edition, body in enumerate(steps, 4):
+            self.send(edition, body)
+            self.assert_few_read_and_checked()
 
-    # Nor must a whole configuration in which one tenant differs.
-    def test_a_whole_configuration_with_one_change_checks_few(self):
+    # A whole configuration in which one tenant differs must not cost a check of the whole.
+    def test_a_whole_configuration_with_one_change_checks_few_items(self):
         self.send(2, self.part(0, "first"))
         whole = copy.deepcopy(self.whole)
         whole["senders"][0]["keys"], whole["senders"][7]["keys"] = ["first"], ["other"]
         record = self.send(3, whole, partial=False)
-        self.assert_cheap()
+        self.assert_few_read_and_checked()
         changed = json.loads(record)["set"]["senders"]
         self.assertThat(list(changed), Equals([whole["senders"][7]["name"]]))
 
-    # A follower reads of a logged change what it changes.
-    def test_a_record_is_followed_by_reading_what_it_changes(self):
+    # A follower that applies a logged change must not read the items that it leaves alone.
+    def test_a_follower_reads_only_the_changed_items_of_a_record(self):
         follower = registries.Registry(reader=self.counting.reader)
         registries.apply(follower, self.first)
         records = [self.send(e, self.part(e, f"key {e}")) for e in range(2, 30)]
@@ -111,34 +111,34 @@
     )
 
 
-def unlike(items):
-    """Lists of items of different names."""
+def differently_named(items):
+    """Lists of items with different names."""
     return st.lists(items, max_size=3, unique_by=lambda item: item["name"])
 
 
 def bodies():
-    some = st.fixed_dictionaries(
+    partial = st.fixed_dictionaries(
         {},
         optional={
-            "upsert": st.fixed_dictionaries({}, optional={"senders": unlike(tenants())}),
+            "upsert": st.fixed_dictionaries({}, optional={"senders": differently_named(tenants())}),
             "remove": st.fixed_dictionaries(
                 {}, optional={"senders": st.lists(st.sampled_from(NAMES), max_size=2)}
             ),
         },
-    ).map(lambda told: (told, True))
+    ).map(lambda body: (body, True))
     whole = st.fixed_dictionaries(
         {
             "routes": st.just([good_route(0)]),
             "services": st.just([{"name": "s0"}]),
             "limits": st.sampled_from([0, 1]),
         },
-        optional={"senders": unlike(tenants())},
-    ).map(lambda told: (told, False))
-    return st.one_of(some, some, some, whole)
+        optional={"senders": differently_named(tenants())},
+    ).map(lambda body: (body, False))
+    return st.one_of(partial, partial, partial, whole)
 
 
 def is_valid(whole):
-    """Whether tenants are valid, slow and plain: each key compared with each other."""
+    """A plain model of validity: each key is compared with every other one."""
     items = whole.get("senders", [])
     for number, item in enumerate(items):
         for other in items[:number]:
@@ -157,18 +157,18 @@
 }
 
 
-class Same(TestCase):
-    # The check of what changed and that of the whole must not differ, nor either of them
-    # from what the plain model takes.
+class SameAnswers(TestCase):
+    # The check of the changed items, the check of the whole document and the plain model must
+    # give the same result.
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(bodies(), max_size=12))
-    def test_the_answers_are_those_of_the_whole_check(self, told):
+    def test_answers_equal_those_of_the_check_of_the_whole(self, changes):
         registry, whole = registries.Registry(reader=READER), FIRST
         do(registry, change(0, FIRST, partial=False))
-        for turn, (body, partial) in enumerate(told):
+        for turn, (body, partial) in enumerate(changes):
             now = registry.document
             body = {**body, "edition": now["edition"] + 1}
-            wanted, failed = documents.evaluate_change(
+            expected, failed = documents.evaluate_change(
                 READER, now, change(now["edition"], body, partial)
             )
             sent = {**change(now["edition"], body, partial), "change": f"turn {turn}"}
@@ -178,7 +178,7 @@
             assert (failure is None) == is_valid(after)
             if failure is None:
                 whole, found = after, json.loads(record)
-                assert {k: found[k] for k in wanted} == json.loads(json.dumps(wanted))
+                assert {k: found[k] for k in expected} == json.loads(json.dumps(expected))
             registries.apply(registry, record)
             assert exact(json.loads(documents.operator_form(READER, registry.document))) == exact(
                 whole
@@ -191,10 +191,10 @@
 
 
 class Random(TestCase):
-    # Changes of tenants among others, good, stale and repeated, with restarts.
+    # Changes of tenants among other changes: valid, stale and repeated ones, with restarts.
     def test_against_a_plain_model(self):
         for seed in range(12):
-            rng, operator, sent, taken = random.Random(seed), Operator(), [], 0
+            rng, operator, sent, accepted = random.Random(seed), Operator(), [], 0
             whole = made.with_tenants(rng, made.configuration(rng, 1, routes=2))
             self.assertThat(operator.send("PUT", whole, 0)[0], Equals(200))
             for _ in range(30):
@@ -205,21 +205,21 @@
                     self.assertThat(operator.send(*call)[0], Equals(code))
                     continue
                 if step == "put":
-                    told = made.configuration(rng, edition + 2, routes=2)
-                    told = made.with_tenants(rng, told) if rng.random() < 0.7 else told
-                    call = "PUT", told, edition
+                    body = made.configuration(rng, edition + 2, routes=2)
+                    body = made.with_tenants(rng, body) if rng.random() < 0.7 else body
+                    call = "PUT", body, edition
                 elif step == "patch":
                     call = "PATCH", made.patch(rng, whole, edition + 1), edition
                 else:
-                    told = made.tenants_patch(rng, whole, edition + 1)
-                    call = "PATCH", told, edition - (step == "stale")
+                    body = made.tenants_patch(rng, whole, edition + 1)
+                    call = "PATCH", body, edition - (step == "stale")
                 code, _ = operator.send(*call)
                 sent.append((call, code))
                 self.assertThat(code, Equals(412 if step == "stale" else 200))
                 if code == 200:
-                    taken += 1
+                    accepted += 1
                     whole = call[1] if call[0] == "PUT" else made.patched(whole, call[1])
-                self.assertThat(operator.back(), Equals(exact(whole)))
+                self.assertThat(operator.read_back(), Equals(exact(whole)))
                 found = registries.tenants(operator.registry)
                 self.assertThat(
                     {name: facts["keys"] for name, facts in found.items()},
@@ -229,4 +229,4 @@
                     operator.registry = registries.load(
                         registries.dump(operator.registry), reader=configuration.READER
                     )
-            self.assertThat(taken, GreaterThan(5))
+            self.assertThat(accepted, GreaterThan(5))
--- a/tests/test_tenant_names.py
+++ b/tests/test_tenant_names.py
@@ -1,4 +1,4 @@
-"""A tenant's name goes to engines in a header line: one that no line can hold is invalid."""
+"""A tenant's name is sent to engines in a header line: one that no line can hold is invalid."""
 
 import random
 
@@ -9,13 +9,13 @@
 from testtools.matchers import Equals
 from transport import failures
 
-GOOD = ("a", "acme-1", "č-åß", "two words", "x:y, z")
-# Line ends would begin a line of their own; others change on the way or can't be written.
-BAD = ("a\r\nX-Sender: b", "a\n", "\ra", "a\x00b", "a\x7f", "a\tb", " a", "a ", "\ud800")
+VALID = ("a", "acme-1", "č-åß", "two words", "x:y, z")
+# A line end would start another header; the others are changed on the way or can't be encoded.
+INVALID = ("a\r\nX-Sender: b", "a\n", "\ra", "a\x00b", "a\x7f", "a\tb", " a", "a ", "\ud800")
 
 
-def decided(name):
-    """What becomes of a configuration with a tenant of that name."""
+def failure_of(name):
+    """The failure of a configuration with a tenant of that name, or None."""
     registry = registries.Registry(reader=configuration.READER)
     whole = made.configuration(random.Random(3), 1)
     whole["senders"] = [{"name": name, "keys": ["k1"]}]
@@ -25,9 +25,9 @@
 
 
 class TenantNames(TestCase):
-    # Guards against UNASKED: a name that makes an engine read another tenant's.
-    def test_only_what_a_header_line_holds(self):
-        for name in GOOD:
-            self.assertThat(decided(name), Equals(None), repr(name))
-        for name in BAD:
-            self.assertIsInstance(decided(name), failures.LayoutWrong, repr(name))
+    # Guards against UNASKED: a name that makes an engine read another tenant's name.
+    def test_only_names_that_a_header_line_holds(self):
+        for name in VALID:
+            self.assertThat(failure_of(name), Equals(None), repr(name))
+        for name in INVALID:
+            self.assertIsInstance(failure_of(name), failures.LayoutWrong, repr(name))
