--- a/libs/configuration/src/configuration/change_validation.py
+++ b/libs/configuration/src/configuration/change_validation.py
@@ -45,11 +45,11 @@
         return None, StampStale(expected, current)
     if body.get("partial"):
         section = merging.merge_patch(registry.sections.get(partner, {}), section)
-    checked, wrong = merging.check_section(
+    checked, faults = merging.check_section(
         registry.sections, partner, section, zone_names(registry)
     )
-    if wrong:
-        return None, LayoutWrong(tuple(wrong[:100]))
+    if faults:
+        return None, LayoutWrong(tuple(faults[:100]))
     return {"k": "layout", "partner": partner, "section": checked}, None
 
 
--- a/libs/configuration/src/configuration/checked_document.py
+++ b/libs/configuration/src/configuration/checked_document.py
@@ -206,18 +206,18 @@
     """Whether changed routes conflict with no other and all services that are used exist."""
     names = document["parts"].get(reader.routes, {})
     services = document["parts"].get(reader.services, {})
-    uses, taken = Counter(), set()
+    uses, route_keys = Counter(), set()
     for name in touched[reader.routes] & checked.routes.keys():
         if name in names and name not in changed:
             continue
         uses.subtract(share["service"] for share in checked.routes[name]["split"])
     for name, route in changed.items():
-        place = _host_and_prefix(route)
-        holder = checked.route_names.get(place, name)
-        held = holder != name and holder in names and holder not in changed
-        if held or place in taken or sum(s["weight"] for s in route["split"]) <= 0:
+        route_key = _host_and_prefix(route)
+        other = checked.route_names.get(route_key, name)
+        conflicts = other != name and other in names and other not in changed
+        if conflicts or route_key in route_keys or sum(s["weight"] for s in route["split"]) <= 0:
             return False
-        taken.add(place)
+        route_keys.add(route_key)
         uses.update(share["service"] for share in route["split"])
     gone = touched[reader.services] & checked.services.keys() - services.keys()
     unused = all(checked.service_uses[n] + uses[n] <= 0 for n in gone)
@@ -226,11 +226,11 @@
 
 def _keys_fit(checked, names, changed):
     """Whether no key of a changed tenant is another tenant's; `names`: those of all tenants."""
-    holders = {}
+    owners = {}
     for name, tenant in changed.items():
         for key in tenant["keys"]:
-            before = checked.key_owners.get(key, name)
-            held = before != name and before in names and before not in changed
-            if held or holders.setdefault(key, name) != name:
+            owner = checked.key_owners.get(key, name)
+            conflicts = owner != name and owner in names and owner not in changed
+            if conflicts or owners.setdefault(key, name) != name:
                 return False
     return True
--- a/libs/configuration/src/configuration/document_changes.py
+++ b/libs/configuration/src/configuration/document_changes.py
@@ -11,14 +11,15 @@
 
 
 def _same(old, new):
-    """Whether both have the same JSON form: 1, 1.0 and True are equal but have not."""
+    """Whether both have the same JSON form; 1, 1.0 and True are equal but have different ones."""
     return old is new or (old == new and json.dumps(old) == json.dumps(new))
 
 
 def reuse_unchanged(old, new, touched):
     """Replace the items of `new` that equal those of `old` by the latter, the same objects.
 
-    Only the names in `touched`, by part, are compared."""
+    Only the items named in `touched`, by part, are compared.
+    """
     for part, items in new["parts"].items():
         before = old["parts"].get(part, {})
         for name in touched[part] & items.keys() & before.keys():
@@ -50,12 +51,12 @@
     for part in changes.get("absent", ()):
         parts.pop(part, None)
     for part, items in changes["set"].items():
-        kept = parts.setdefault(part, {})
+        kept_items = parts.setdefault(part, {})
         for name in changes["gone"].get(part, ()):
-            kept.pop(name, None)
-        kept.update(items)
+            kept_items.pop(name, None)
+        kept_items.update(items)
         if part in changes["order"]:
-            parts[part] = {name: kept[name] for name in changes["order"][part]}
+            parts[part] = {name: kept_items[name] for name in changes["order"][part]}
     return {
         "edition": changes["edition"],
         "parts": parts,
--- a/libs/configuration/src/configuration/document_facts.py
+++ b/libs/configuration/src/configuration/document_facts.py
@@ -22,7 +22,7 @@
 _TENANT_DEFAULTS = {"ratePerS": 0.0, "burst": 0.0, "rank": None}
 
 
-class _Loose(Schema):
+class _IgnoreUnknown(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -39,12 +39,12 @@
     return fields.Float(validate=validate.Range(min=low, max=_MAX_NUMBER), allow_nan=False, **more)
 
 
-class _Share(_Loose):
+class _Share(_IgnoreUnknown):
     service = _text()
     weight = _number()
 
 
-class _Route(_Loose):
+class _Route(_IgnoreUnknown):
     host = _text()
     prefix = fields.String(
         required=True, validate=[validate.Length(min=1, max=1000), validate.Regexp(r"^/(.*/)?$")]
@@ -65,7 +65,7 @@
     public = fields.Boolean(load_default=False)
 
 
-class _Model(_Loose):
+class _Model(_IgnoreUnknown):
     name = _text()
     roomMb = _number()
     loadMs = _number()
@@ -73,7 +73,7 @@
     adapterMb = _number()
 
 
-class _Service(_Loose):
+class _Service(_IgnoreUnknown):
     kind = fields.String(required=True, validate=validate.OneOf(["models", "plain"]))
     healthPath = fields.String(load_default="/health")
     pipesMax = _count()
@@ -95,7 +95,7 @@
         raise ValidationError("Not a Unicode text.") from failed
 
 
-class _Tenant(_Loose):
+class _Tenant(_IgnoreUnknown):
     """`ratePerS`: 0 for no limit; `rank`: None for that of the route."""
 
     keys = fields.List(fields.String(validate=[validate.Length(min=1), _encodable]), required=True)
@@ -116,7 +116,7 @@
 
 def check(routes, services, tenants):
     """A list of FieldWrong for the facts, by name, of each part; empty if they are valid."""
-    wrong = []
+    faults = []
     parts = (
         ("services", SERVICE, services),
         ("routes", ROUTE, routes),
@@ -127,41 +127,41 @@
             try:
                 schema.load(facts)
             except (ValidationError, TypeError) as failed:
-                wrong.append(
+                faults.append(
                     _first_fault(getattr(failed, "messages", "unreadable"), f"{part}.{name}")
                 )
-    return wrong or _check_routes(routes, services) + _shared_keys(tenants)
+    return faults or _check_routes(routes, services) + _shared_keys(tenants)
 
 
 def _shared_keys(tenants):
     """A FieldWrong for each tenant with a key of an earlier one; keys themselves aren't shown."""
-    wrong, holders = [], {}
+    faults, owners = [], {}
     for name, tenant in tenants.items():
-        others = {holders.setdefault(key, name) for key in tenant["keys"]} - {name}
+        others = {owners.setdefault(key, name) for key in tenant["keys"]} - {name}
         for other in sorted(others):
-            wrong.append(FieldWrong(f"tenants.{name}.keys", f"a key is {other}'s"))
-    return wrong
+            faults.append(FieldWrong(f"tenants.{name}.keys", f"a key is {other}'s"))
+    return faults
 
 
 def _check_routes(routes, services):
-    wrong, taken = [], {}
+    faults, names = [], {}
     for name, route in routes.items():
-        place = (route["host"].lower(), route["prefix"])
-        if place in taken:
-            wrong.append(FieldWrong(f"routes.{name}.prefix", f"same as {taken[place]}'s"))
-        taken[place] = name
+        route_key = (route["host"].lower(), route["prefix"])
+        if route_key in names:
+            faults.append(FieldWrong(f"routes.{name}.prefix", f"same as {names[route_key]}'s"))
+        names[route_key] = name
         if sum(share["weight"] for share in route["split"]) <= 0:
-            wrong.append(FieldWrong(f"routes.{name}.split", "weights sum to 0"))
+            faults.append(FieldWrong(f"routes.{name}.split", "weights sum to 0"))
         for share in route["split"]:
             if share["service"] not in services:
-                wrong.append(
+                faults.append(
                     FieldWrong(f"routes.{name}.split", f"no such service {share['service']}")
                 )
-    return wrong
+    return faults
 
 
 def section(routes, services, tenants=None):
-    """A section like that of a partner, found of valid routes, services and tenants."""
+    """A section like that of a partner, made of valid routes, services and tenants."""
     models = {
         m["name"]: {
             "roomMb": m.get("roomMb", 0.0),
@@ -171,11 +171,11 @@
         for facts in services.values()
         for m in facts.get("models", ())
     }
-    found = {}
+    section_services = {}
     for name, facts in services.items():
         per_s = facts.get("loadsPerS", 0.0)
         longest_ms = max((m.get("loadMs", 0.0) for m in facts.get("models", ())), default=0.0)
-        found[name] = {
+        section_services[name] = {
             **facts,
             "shares": {},
             "byDemand": True,
@@ -187,7 +187,7 @@
             },
         }
     return {
-        "services": found,
+        "services": section_services,
         "models": models,
         "wishes": {},
         "routes": routes,
--- a/libs/configuration/src/configuration/documents.py
+++ b/libs/configuration/src/configuration/documents.py
@@ -57,11 +57,11 @@
 
 
 class Unreadable(Exception):
-    """A part of the document is invalid; `wrong` is its FieldWrong."""
+    """A part of the document is invalid; `fault` is its FieldWrong."""
 
     def __init__(self, field, cause):
         super().__init__(field)
-        self.wrong = FieldWrong(field, cause)
+        self.fault = FieldWrong(field, cause)
 
 
 def items_by_name(part, items):
@@ -158,11 +158,11 @@
         document_changes.reuse_unchanged(document, changed, touched)
         known = checked is not None
         if not known or not checked_document.is_surely_valid(reader, checked, changed, touched):
-            wrong = document_facts.check(*_facts(reader, changed))
-            if wrong:
-                return None, LayoutWrong(tuple(wrong[:100]))
+            faults = document_facts.check(*_facts(reader, changed))
+            if faults:
+                return None, LayoutWrong(tuple(faults[:100]))
     except Unreadable as unreadable:
-        return None, LayoutWrong((unreadable.wrong,))
+        return None, LayoutWrong((unreadable.fault,))
     return document_changes.difference(document, changed), None
 
 
--- a/libs/configuration/src/configuration/earlier_records.py
+++ b/libs/configuration/src/configuration/earlier_records.py
@@ -10,13 +10,13 @@
 __all__ = ["upgrade_difference", "upgrade_document"]
 
 
-def upgrade_document(reader, found):
+def upgrade_document(reader, document):
     """A document from a checkpoint, with its list of tenants as a part."""
-    items = None if reader is None else _tenants(reader, found["rest"])
+    items = None if reader is None else _tenants(reader, document["rest"])
     if items is None:
-        return found
-    rest = _without_tenants(reader, found["rest"])
-    return {**found, "parts": {**found["parts"], reader.tenants: items}, "rest": rest}
+        return document
+    rest = _without_tenants(reader, document["rest"])
+    return {**document, "parts": {**document["parts"], reader.tenants: items}, "rest": rest}
 
 
 def upgrade_difference(reader, before, difference):
--- a/libs/configuration/src/configuration/engine_list.py
+++ b/libs/configuration/src/configuration/engine_list.py
@@ -40,9 +40,9 @@
         return None, FieldWrong("engines", "not a list of 1 to 2000 engines")
     changed = []
     for number, engine in enumerate(engines):
-        wrong = _check_engine(f"engines.{number}", engine)
-        if wrong:
-            return None, wrong
+        fault = _check_engine(f"engines.{number}", engine)
+        if fault:
+            return None, fault
         full = {**_SIZES, **engine}
         if not full["warmMs"]:
             del full["warmMs"]
--- a/libs/configuration/src/configuration/merging.py
+++ b/libs/configuration/src/configuration/merging.py
@@ -31,21 +31,21 @@
 
     Returns (section with defaults or None, list of FieldWrong); `zones` are the known zones.
     """
-    checked, wrong = schema.check(section)
-    if wrong:
-        return None, wrong
+    checked, faults = schema.check(section)
+    if faults:
+        return None, faults
     merged = {**sections, partner: checked}
     services = {
         name: (owner, s)
-        for owner, sec in sorted(merged.items())
-        for name, s in sec["services"].items()
+        for owner, partner_section in sorted(merged.items())
+        for name, s in partner_section["services"].items()
     }
-    wrong = list(_duplicate_names(sections, partner, checked))
-    wrong += _shares(checked, merged)
-    wrong += _weights(checked)
-    wrong += _wishes(merged, services, partner, zones)
-    wrong += _routes(merged, services, partner)
-    return (None, wrong) if wrong else (checked, [])
+    faults = list(_duplicate_names(sections, partner, checked))
+    faults += _shares(checked, merged)
+    faults += _weights(checked)
+    faults += _wishes(merged, services, partner, zones)
+    faults += _routes(merged, services, partner)
+    return (None, faults) if faults else (checked, [])
 
 
 def _duplicate_names(sections, partner, checked):
@@ -58,70 +58,70 @@
 
 
 def _shares(checked, merged):
-    wrong = []
+    faults = []
     for name, service in checked["services"].items():
         total = sum(service["shares"].values())
         if total > 1 + 1e-9:
-            wrong.append(FieldWrong(f"services.{name}.shares", "more than 1 in all"))
+            faults.append(FieldWrong(f"services.{name}.shares", "more than 1 in all"))
         for partner in sorted(set(service["shares"]) - set(merged)):
-            wrong.append(FieldWrong(f"services.{name}.shares.{partner}", "no such partner"))
-    return wrong
+            faults.append(FieldWrong(f"services.{name}.shares.{partner}", "no such partner"))
+    return faults
 
 
 def _weights(checked):
-    wrong = []
+    faults = []
     for key in ("atOnce", "perMinute"):
         total_loads = sum(s["loads"][key] for s in checked["services"].values())
         if total_loads > checked["weightStore"][key]:
-            wrong.append(
+            faults.append(
                 FieldWrong(f"weightStore.{key}", f"services are given {total_loads} in all")
             )
-    return wrong
+    return faults
 
 
 def _check_target(section, services, at, target, needs_model, models):
-    wrong = []
+    faults = []
     if target["service"] not in services:
         return [FieldWrong(f"{at}.service", "no such service")]
     kind = services[target["service"]][1]["kind"]
     if kind == "plain":
         if target["model"]:
-            wrong.append(FieldWrong(f"{at}.model", "a plain service holds no models"))
-        return wrong
+            faults.append(FieldWrong(f"{at}.model", "a plain service holds no models"))
+        return faults
     if target["model"] not in models:
         if needs_model or target["model"]:
-            wrong.append(FieldWrong(f"{at}.model", "not one of this partner's models"))
+            faults.append(FieldWrong(f"{at}.model", "not one of this partner's models"))
     elif target["adapter"] and target["adapter"] not in models[target["model"]]["adapters"]:
-        wrong.append(FieldWrong(f"{at}.adapter", "no such adapter of that model"))
-    return wrong
+        faults.append(FieldWrong(f"{at}.adapter", "no such adapter of that model"))
+    return faults
 
 
 def _wishes(merged, services, partner, zones):
     """Check all partners' wishes, since a change may remove a service or model that another
     partner's wish names."""
-    wrong = []
+    faults = []
     for owner, section in sorted(merged.items()):
         prefix = "wishes" if owner == partner else f"({owner}).wishes"
         for name, wish in section["wishes"].items():
             at = f"{prefix}.{name}"
-            wrong += _check_target(section, services, at, wish, True, section["models"])
+            faults += _check_target(section, services, at, wish, True, section["models"])
             if owner == partner and zones:
-                wrong += [
+                faults += [
                     FieldWrong(f"{at}.zones", f"unknown zone {zone}")
                     for zone in wish["zones"]
                     if zone not in zones
                 ]
-    return wrong
+    return faults
 
 
 def _routes(merged, services, partner):
-    wrong = []
+    faults = []
     for owner, section in sorted(merged.items()):
         if owner == document_facts.OWNER:
             continue
         prefix = "routes" if owner == partner else f"({owner}).routes"
         for name, route in section["routes"].items():
-            wrong += _check_target(
+            faults += _check_target(
                 section, services, f"{prefix}.{name}", route, False, section["models"]
             )
-    return wrong
+    return faults
--- a/libs/configuration/src/configuration/schema.py
+++ b/libs/configuration/src/configuration/schema.py
@@ -39,17 +39,17 @@
     )
 
 
-class _Strict(Schema):
+class _RejectUnknown(Schema):
     class Meta:
         unknown = RAISE
 
 
-class _Loads(_Strict):
+class _Loads(_RejectUnknown):
     atOnce = _integer(0, 1000)
     perMinute = _integer(0, 100000)
 
 
-class _Service(_Strict):
+class _Service(_RejectUnknown):
     kind = fields.String(required=True, validate=validate.OneOf(["models", "plain"]))
     shares = fields.Dict(
         keys=fields.String(validate=_NAME),
@@ -59,16 +59,16 @@
     loads = fields.Nested(_Loads, load_default=lambda: {"atOnce": 0, "perMinute": 0})
 
 
-class _Adapter(_Strict):
+class _Adapter(_RejectUnknown):
     places = fields.Integer(strict=True, load_default=1, validate=validate.Range(min=1, max=64))
 
 
-class _Model(_Strict):
+class _Model(_RejectUnknown):
     roomMb = _integer(1, 10_000_000)
     adapters = _by_name(fields.Nested(_Adapter), 1000)
 
 
-class _Wish(_Strict):
+class _Wish(_RejectUnknown):
     service = fields.String(required=True, validate=_NAME)
     model = fields.String(required=True, validate=_NAME)
     adapter = fields.String(load_default="", validate=validate.Length(max=63))
@@ -77,14 +77,14 @@
     yields = fields.Integer(strict=True, load_default=50, validate=validate.Range(min=0, max=100))
 
 
-class _Route(_Strict):
+class _Route(_RejectUnknown):
     service = fields.String(required=True, validate=_NAME)
     model = fields.String(load_default="")
     adapter = fields.String(load_default="")
     cls = fields.String(data_key="class", load_default="update", validate=validate.OneOf(CLASSES))
 
 
-class _Section(_Strict):
+class _Section(_RejectUnknown):
     services = _by_name(fields.Nested(_Service), 64)
     models = _by_name(fields.Nested(_Model), 1000)
     wishes = _by_name(fields.Nested(_Wish), 4000)
@@ -111,6 +111,6 @@
         return None, [FieldWrong("(whole)", "not an object")]
     try:
         loaded = _SECTION.load(section)
-    except ValidationError as wrong:
-        return None, sorted(_flatten(wrong.messages), key=lambda w: w.field)
+    except ValidationError as error:
+        return None, sorted(_flatten(error.messages), key=lambda fault: fault.field)
     return _SECTION.dump(loaded), []
--- a/libs/configuration/src/configuration/templates.py
+++ b/libs/configuration/src/configuration/templates.py
@@ -24,20 +24,20 @@
     try:
         rendered = _ENVIRONMENT.from_string(text).render(**parameters)
     except UndefinedError as missing:
-        return _wrong("(parameter)", str(missing))
+        return _failure("(parameter)", str(missing))
     except (TemplateError, TypeError, ValueError, OverflowError, ArithmeticError) as failed:
-        return _wrong("(template)", f"{type(failed).__name__}: {failed}")
+        return _failure("(template)", f"{type(failed).__name__}: {failed}")
     if len(rendered) > _LIMIT_BYTES:
-        return _wrong("(template)", "renders to more than 4 MiB")
+        return _failure("(template)", "renders to more than 4 MiB")
     try:
         section = json.loads(rendered)
     except ValueError as failed:
-        return _wrong("(template)", f"does not render to JSON: {failed}")
+        return _failure("(template)", f"does not render to JSON: {failed}")
     for overlay in overlays:
         section = merging.merge_patch(section, overlay)
-    checked, wrong = schema.check(section)
-    return LayoutWrong(tuple(wrong)) if wrong else checked
+    checked, faults = schema.check(section)
+    return LayoutWrong(tuple(faults)) if faults else checked
 
 
-def _wrong(field, cause):
+def _failure(field, cause):
     return LayoutWrong((FieldWrong(field, cause),))
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -232,7 +232,7 @@
 
 @_failure("no-tokens", 200)
 class NoTokens(Failure):
-    """A warning at start: without a token file, operators' partner names aren't verified."""
+    """A warning at start: without [tokens] in the settings, partner names aren't verified."""
 
     cause: str
 
