--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -102,17 +102,21 @@
 
 @_failure("body-oversized", 413)
 class BodyOversized(Failure):
+    """The request's body is longer than allowed."""
+
     limitBytes: int
 
 
 @_failure("body-malformed", 400)
 class BodyMalformed(Failure):
+    """The request's body, or a header that belongs to it, can't be read."""
+
     cause: str
 
 
 @_failure("body-incomplete", 408)
 class BodyIncomplete(Failure):
-    """The connection ended within the request's body."""
+    """The connection ended within the request's body, so the client may send the request again."""
 
 
 @_failure("unauthorized", 401)
@@ -139,12 +143,14 @@
 
 @_failure("not-found", 404)
 class NotFound(Failure):
+    """There is nothing under the requested path or name."""
+
     what: str
 
 
 @_failure("overloaded", 503)
 class Overloaded(Failure):
-    """No engine or queue has capacity for the request now."""
+    """The request can't be served now for lack of capacity; `cause` names what is exhausted."""
 
     retryMs: int
     cause: str
@@ -152,7 +158,7 @@
 
 @_failure("no-room", 503)
 class NoRoom(Failure):
-    """The model can't be loaded now, as no engine has room for it."""
+    """No engine has the model loaded; `cause` tells why none loads it in time."""
 
     retryMs: int
     model: str
@@ -185,7 +191,7 @@
 
 @_failure("no-holder", 503)
 class NoHolder(Failure):
-    """No node that is known holds the lease of the shard now."""
+    """No node is known to hold the lease of the shard now."""
 
     retryMs: int
     shard: int
@@ -277,7 +283,7 @@
 
 @_failure("core-broke", 500)
 class CoreBroke(Failure):
-    """A state machine raised an exception: the process stops."""
+    """An unexpected exception: the process stops, since its state may be inconsistent."""
 
     event: str
     error: str
