--- a/libs/configuration/src/configuration/judging.py
+++ b/libs/configuration/src/configuration/change_validation.py
@@ -1,22 +1,22 @@
-"""Whether an operator's wish fits the present registry: a rule for each verb."""
+"""Validates the changes that operators request against the current registry, one rule a verb."""
 
 from transport.failures import FieldWrong, LayoutWrong, NotFound, StampStale, WrongPartner
 
-from configuration import documents, engine_list, merging, passages
-from configuration.views import zone_names
+from configuration import document_facts, documents, engine_list, merging
+from configuration.lookups import zone_names
 
-__all__ = ["judged"]
+__all__ = ["evaluate_change"]
 
 
-def judged(registry, verb, body):
-    """(what to log or None if nothing changes, None) or (None, failure)."""
+def evaluate_change(registry, verb, body):
+    """(record to log or None if nothing changes, None) or (None, failure)."""
     expected = body.get("expect")
     if expected is not None and (not isinstance(expected, int) or isinstance(expected, bool)):
         return None, FieldWrong("expect", "not a whole number")
     rule = {
         "layout": _layout,
         "zone": _zone,
-        "engines": engine_list.judged,
+        "engines": engine_list.evaluate_change,
         "written": _written,
     }.get(verb)
     if rule is None or (verb == "written" and registry.reader is None):
@@ -25,15 +25,17 @@
 
 
 def _written(registry, body, expected):
-    told, failure = documents.judged(registry.reader, registry.document, body, registry.checked)
-    return (None, failure) if failure else ({"k": "written", **told}, None)
+    difference, failure = documents.evaluate_change(
+        registry.reader, registry.document, body, registry.checked
+    )
+    return (None, failure) if failure else ({"k": "written", **difference}, None)
 
 
 def _layout(registry, body, expected):
     partner, section = body.get("partner"), body.get("section")
     if not isinstance(partner, str) or not partner:
         return None, FieldWrong("partner", "missing")
-    if registry.reader is not None and partner == passages.OWNER:
+    if registry.reader is not None and partner == document_facts.OWNER:
         return None, FieldWrong("partner", "kept for the written configuration")
     actor = body.get("actor")
     if actor != partner:
@@ -42,10 +44,12 @@
     if expected is not None and expected != current:
         return None, StampStale(expected, current)
     if body.get("partial"):
-        section = merging.patched(registry.sections.get(partner, {}), section)
-    checked, wrong = merging.whole(registry.sections, partner, section, zone_names(registry))
-    if wrong:
-        return None, LayoutWrong(tuple(wrong[:100]))
+        section = merging.merge_patch(registry.sections.get(partner, {}), section)
+    checked, faults = merging.check_section(
+        registry.sections, partner, section, zone_names(registry)
+    )
+    if faults:
+        return None, LayoutWrong(tuple(faults[:100]))
     return {"k": "layout", "partner": partner, "section": checked}, None
 
 
--- a/libs/configuration/src/configuration/checked_document.py
+++ b/libs/configuration/src/configuration/checked_document.py
@@ -1,8 +1,8 @@
-"""What is known of a document in force, so that a change costs what it changes.
+"""What is known of the current document, so that checking a change costs what it changes.
 
-Facts are read and checked once for each item.  `accepts` says yes only where the check
-of the whole document would find nothing wrong; on any doubt it says no, and the whole
-check is made, whose findings are what operators are told.
+The facts of each item are read and checked once.  `is_surely_valid` is true only if the check
+of the whole document would find no fault; in any other case the whole document is checked,
+and operators are told the faults that this check finds.
 """
 
 from collections import Counter
@@ -10,15 +10,22 @@
 
 from marshmallow import ValidationError
 
-from configuration import passages
+from configuration import document_facts
 
-__all__ = ["CheckedDocument", "Unreadable", "accepts", "advanced", "read_items", "read_whole"]
+__all__ = [
+    "CheckedDocument",
+    "Unreadable",
+    "after_differences",
+    "is_surely_valid",
+    "read_items",
+    "read_whole",
+]
 
 _UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 
 
 class Unreadable(Exception):
-    """An item that the adapter's reader can't read."""
+    """An item is invalid: the adapter's Reader raised an exception."""
 
     def __init__(self, part, name, cause):
         super().__init__(name)
@@ -27,20 +34,21 @@
 
 @dataclass
 class CheckedDocument:
-    """A document with its items' facts.
+    """A document with the facts of its items.
 
-    `sound`: whether the check of the whole is known to find nothing, None if it was
-    not made yet.  Only of a sound one are `places` (of its routes), `uses` (of its
-    services) and `holders` (of the tenants' keys) known."""
+    `valid`: the result of the check of the whole document, None before that check.  The other
+    fields are set only for a valid document: `route_names` by (host, prefix), `service_uses`
+    (how many routes' shares name each service), `key_owners` (the tenant of each API key).
+    """
 
     document: dict
     routes: dict = field(default_factory=dict)
     services: dict = field(default_factory=dict)
     tenants: dict = field(default_factory=dict)
-    places: dict = field(default_factory=dict)
-    uses: Counter = field(default_factory=Counter)
-    holders: dict = field(default_factory=dict)
-    sound: bool | None = None
+    route_names: dict = field(default_factory=dict)
+    service_uses: Counter = field(default_factory=Counter)
+    key_owners: dict = field(default_factory=dict)
+    valid: bool | None = None
 
 
 def _read(part, name, item, read_item):
@@ -51,12 +59,12 @@
 
 
 def read_items(part, items, read_item):
-    """The facts of a part's items."""
+    """The facts of the items of a part, by name; raises Unreadable."""
     return {name: _read(part, name, item, read_item) for name, item in items.items()}
 
 
 def read_whole(reader, document):
-    """The CheckedDocument of a document of which nothing is known."""
+    """The CheckedDocument of a document, with all items read anew."""
     found = [
         read_items(part, document["parts"].get(part, {}), read_item)
         for part, read_item in reader.parts()
@@ -64,94 +72,104 @@
     return CheckedDocument(document, *found)
 
 
-def advanced(reader, checked, document, differences):
-    """The CheckedDocument of what `differences`, one after the other, made of the one
-    that `checked` is of; or, if that is None, read anew."""
+def after_differences(reader, checked, document, differences):
+    """The CheckedDocument of `document`.
+
+    `checked` is that of an earlier document, which `differences`, applied in order, turn into
+    `document`.  If it is None, all items are read anew.
+    """
     if checked is None:
         return read_whole(reader, document)
     found, touched = [], {}
     known = (checked.routes, checked.services, checked.tenants)
     for (part, read_item), facts in zip(reader.parts(), known):
         facts, touched[part] = dict(facts), set()
-        for told in differences:
-            facts = _with_difference(part, read_item, facts, told, touched[part])
+        for difference in differences:
+            facts = _with_difference(part, read_item, facts, difference, touched[part])
         found.append(facts)
-    made = CheckedDocument(document, *found)
-    if checked.sound and accepts(reader, checked, document, touched):
-        _carry_on(made, checked, touched[reader.routes], touched[reader.tenants])
-    return made
+    result = CheckedDocument(document, *found)
+    if checked.valid and is_surely_valid(reader, checked, document, touched):
+        _derive_known(result, checked, touched[reader.routes], touched[reader.tenants])
+    return result
 
 
-def _with_difference(part, read_item, facts, told, touched):
-    """A part's facts with one difference laid over them; its names go to `touched`."""
-    if part in told.get("absent", ()):
+def _with_difference(part, read_item, facts, difference, touched):
+    """The facts of a part after a difference; the names that it changes are added to `touched`."""
+    if part in difference.get("absent", ()):
         touched.update(facts)
         facts = {}
-    items, gone = told["set"].get(part, {}), told["gone"].get(part, ())
+    items, gone = difference["set"].get(part, {}), difference["gone"].get(part, ())
     touched.update(items, gone)
     for name in gone:
         facts.pop(name, None)
     facts.update(read_items(part, items, read_item))
-    if part in told["order"]:
-        facts = {name: facts[name] for name in told["order"][part]}
+    if part in difference["order"]:
+        facts = {name: facts[name] for name in difference["order"][part]}
     return facts
 
 
-def _carry_on(made, checked, routes, tenants):
-    """What is known of the earlier document, with the routes and tenants of these names
-    changed."""
-    made.sound = True
-    made.places, made.uses = dict(checked.places), Counter(checked.uses)
-    made.holders = dict(checked.holders)
+def _derive_known(result, checked, routes, tenants):
+    """Derive what is known of a valid document from the earlier one `checked`.
+
+    `routes` and `tenants` are the names of those that may differ.
+    """
+    result.valid = True
+    result.route_names, result.service_uses = (
+        dict(checked.route_names),
+        Counter(checked.service_uses),
+    )
+    result.key_owners = dict(checked.key_owners)
     for name in routes & checked.routes.keys():
-        _forget_route(made, name, checked.routes[name])
-    for name in routes & made.routes.keys():
-        _note_route(made, name, made.routes[name])
+        _remove_route(result, name, checked.routes[name])
+    for name in routes & result.routes.keys():
+        _add_route(result, name, result.routes[name])
     for name in tenants & checked.tenants.keys():
-        _forget_tenant(made, checked.tenants[name])
-    for name in tenants & made.tenants.keys():
-        _note_tenant(made, name, made.tenants[name])
+        _remove_tenant(result, checked.tenants[name])
+    for name in tenants & result.tenants.keys():
+        _add_tenant(result, name, result.tenants[name])
 
 
-def _place(route):
+def _host_and_prefix(route):
     return (route["host"].lower(), route["prefix"])
 
 
-def _forget_route(checked, name, route):
-    if checked.places.get(_place(route)) == name:
-        del checked.places[_place(route)]
-    checked.uses.subtract(share["service"] for share in route["split"])
+def _remove_route(checked, name, route):
+    if checked.route_names.get(_host_and_prefix(route)) == name:
+        del checked.route_names[_host_and_prefix(route)]
+    checked.service_uses.subtract(share["service"] for share in route["split"])
 
 
-def _note_route(checked, name, route):
-    checked.places[_place(route)] = name
-    checked.uses.update(share["service"] for share in route["split"])
+def _add_route(checked, name, route):
+    checked.route_names[_host_and_prefix(route)] = name
+    checked.service_uses.update(share["service"] for share in route["split"])
 
 
-def _forget_tenant(checked, tenant):
+def _remove_tenant(checked, tenant):
     for key in tenant["keys"]:
-        checked.holders.pop(key, None)
+        checked.key_owners.pop(key, None)
 
 
-def _note_tenant(checked, name, tenant):
+def _add_tenant(checked, name, tenant):
     for key in tenant["keys"]:
-        checked.holders[key] = name
+        checked.key_owners[key] = name
+
 
+def _whole_is_valid(checked):
+    if checked.valid is None:
+        checked.valid = not document_facts.check(checked.routes, checked.services, checked.tenants)
+        for name, route in checked.routes.items() if checked.valid else ():
+            _add_route(checked, name, route)
+        for name, tenant in checked.tenants.items() if checked.valid else ():
+            _add_tenant(checked, name, tenant)
+    return checked.valid
 
-def _whole_is_sound(checked):
-    if checked.sound is None:
-        checked.sound = not passages.check(checked.routes, checked.services, checked.tenants)
-        for name, route in checked.routes.items() if checked.sound else ():
-            _note_route(checked, name, route)
-        for name, tenant in checked.tenants.items() if checked.sound else ():
-            _note_tenant(checked, name, tenant)
-    return checked.sound
 
+def is_surely_valid(reader, checked, document, touched):
+    """Whether `document` is certain to pass the check of the whole document.
 
-def accepts(reader, checked, document, touched):
-    """Whether `document`, which differs from the one of `checked` in items of the names
-    `touched` of each part at most, is certain to pass the check of the whole."""
-    if not _whole_is_sound(checked):
+    It may differ from the document of `checked` only in the names in `touched`, by part.
+    """
+    if not _whole_is_valid(checked):
         return False
     try:
         routes, services, tenants = [
@@ -161,16 +179,16 @@
     except Unreadable:
         return False
     return (
-        all(_well_formed(passages.SERVICE, facts) for facts in services.values())
-        and all(_well_formed(passages.ROUTE, facts) for facts in routes.values())
-        and all(_well_formed(passages.TENANT, facts) for facts in tenants.values())
-        and _fit(reader, checked, document, routes, touched)
+        all(_well_formed(document_facts.SERVICE, facts) for facts in services.values())
+        and all(_well_formed(document_facts.ROUTE, facts) for facts in routes.values())
+        and all(_well_formed(document_facts.TENANT, facts) for facts in tenants.values())
+        and _routes_fit(reader, checked, document, routes, touched)
         and _keys_fit(checked, document["parts"].get(reader.tenants, {}), tenants)
     )
 
 
 def _changed(part, read_item, checked, document, touched):
-    """{name: facts} of the items among `touched` that `checked` hasn't."""
+    """{name: facts} of the items among `touched` that differ from those of `checked`."""
     before, items = checked.document["parts"].get(part, {}), document["parts"].get(part, {})
     changed = {n: items[n] for n in touched if n in items and items[n] is not before.get(n)}
     return read_items(part, changed, read_item)
@@ -184,35 +202,35 @@
     return True
 
 
-def _fit(reader, checked, document, changed, touched):
-    """Whether changed routes clash with none, and every service that is used is there."""
+def _routes_fit(reader, checked, document, changed, touched):
+    """Whether changed routes conflict with no other and all services that are used exist."""
     names = document["parts"].get(reader.routes, {})
     services = document["parts"].get(reader.services, {})
-    uses, taken = Counter(), set()
+    uses, route_keys = Counter(), set()
     for name in touched[reader.routes] & checked.routes.keys():
         if name in names and name not in changed:
             continue
         uses.subtract(share["service"] for share in checked.routes[name]["split"])
     for name, route in changed.items():
-        place = _place(route)
-        holder = checked.places.get(place, name)
-        held = holder != name and holder in names and holder not in changed
-        if held or place in taken or sum(s["weight"] for s in route["split"]) <= 0:
+        route_key = _host_and_prefix(route)
+        other = checked.route_names.get(route_key, name)
+        conflicts = other != name and other in names and other not in changed
+        if conflicts or route_key in route_keys or sum(s["weight"] for s in route["split"]) <= 0:
             return False
-        taken.add(place)
+        route_keys.add(route_key)
         uses.update(share["service"] for share in route["split"])
     gone = touched[reader.services] & checked.services.keys() - services.keys()
-    unused = all(checked.uses[n] + uses[n] <= 0 for n in gone)
+    unused = all(checked.service_uses[n] + uses[n] <= 0 for n in gone)
     return unused and all(n in services for n, count in uses.items() if count > 0)
 
 
 def _keys_fit(checked, names, changed):
-    """Whether no key of a changed tenant is another's; `names`: all tenants there are."""
-    holders = {}
+    """Whether no key of a changed tenant is another tenant's; `names`: those of all tenants."""
+    owners = {}
     for name, tenant in changed.items():
         for key in tenant["keys"]:
-            before = checked.holders.get(key, name)
-            held = before != name and before in names and before not in changed
-            if held or holders.setdefault(key, name) != name:
+            owner = checked.key_owners.get(key, name)
+            conflicts = owner != name and owner in names and owner not in changed
+            if conflicts or owners.setdefault(key, name) != name:
                 return False
     return True
--- a/libs/configuration/src/configuration/passages.py
+++ b/libs/configuration/src/configuration/document_facts.py
@@ -1,15 +1,14 @@
-"""The written layout: one document for all, with routes by host and path prefix, and
-tenants with their API keys and rate limits.
-
-A platform's operators may write the layout in a form of their own.  A reader
-(given by the platform's adapter) turns each item of theirs into the facts named
-here; this module checks the facts, alone and against each other, and makes of
-them a section like any partner's, so that placement and routing see no
-difference.  Shapes: a route's facts are `host`, `prefix`, `kind` ("safe",
-"unsafe" or "stream"), `holdMs`, `aimMs`, `rank`, `split` ((service, weight),
-...), `tries`, `resumable`, `pauseMs`, `patienceMs` (how long its callers bear silence, 0
-if that isn't known), `public` (whether it asks for no key); a service's are in `_Service`,
-a tenant's in `_Tenant`.
+"""Facts: routes, services and tenants of a document, in a form independent of the platform.
+
+The adapter's Reader (see `documents`) turns each item of a document into the facts described
+here.  This module checks the facts, one by one and together, and makes a section of them like
+a partner's, so that placement and routing need not distinguish the two.
+
+The facts of a route: `host`, `prefix`, `kind` ("safe", "unsafe" or "stream"), `holdMs` (the
+longest time that a request may take), `aimMs` (the target latency), `rank`, `split` ((service,
+weight), ...), `tries`, `resumable`, `pauseMs` (the target gap between events), `patienceMs` (the
+silence after which its callers give up, 0 if unknown), `public` (no API key is needed).  Those of
+a service are in `_Service`, those of a tenant in `_Tenant`.
 """
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
@@ -17,12 +16,13 @@
 
 __all__ = ["check", "section", "OWNER", "ROUTE", "SERVICE", "TENANT"]
 
+# The name under which the section stands among those of partners.
 OWNER = "floor"
-_MOST = 1e12
+_MAX_NUMBER = 1e12
 _TENANT_DEFAULTS = {"ratePerS": 0.0, "burst": 0.0, "rank": None}
 
 
-class _Loose(Schema):
+class _IgnoreUnknown(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -36,15 +36,15 @@
 
 
 def _number(low=0.0, **more):
-    return fields.Float(validate=validate.Range(min=low, max=_MOST), allow_nan=False, **more)
+    return fields.Float(validate=validate.Range(min=low, max=_MAX_NUMBER), allow_nan=False, **more)
 
 
-class _Share(_Loose):
+class _Share(_IgnoreUnknown):
     service = _text()
     weight = _number()
 
 
-class _Route(_Loose):
+class _Route(_IgnoreUnknown):
     host = _text()
     prefix = fields.String(
         required=True, validate=[validate.Length(min=1, max=1000), validate.Regexp(r"^/(.*/)?$")]
@@ -53,7 +53,7 @@
     holdMs = fields.Float(
         required=True,
         allow_nan=False,
-        validate=validate.Range(min=0, max=_MOST, min_inclusive=False),
+        validate=validate.Range(min=0, max=_MAX_NUMBER, min_inclusive=False),
     )
     aimMs = _number(load_default=0.0)
     rank = _count(0, 9)
@@ -65,7 +65,7 @@
     public = fields.Boolean(load_default=False)
 
 
-class _Model(_Loose):
+class _Model(_IgnoreUnknown):
     name = _text()
     roomMb = _number()
     loadMs = _number()
@@ -73,7 +73,7 @@
     adapterMb = _number()
 
 
-class _Service(_Loose):
+class _Service(_IgnoreUnknown):
     kind = fields.String(required=True, validate=validate.OneOf(["models", "plain"]))
     healthPath = fields.String(load_default="/health")
     pipesMax = _count()
@@ -88,15 +88,15 @@
 
 
 def _encodable(key):
-    """A lone surrogate can't be encoded, so no request could carry the key."""
+    """Rejects lone surrogates: they can't be encoded, so no request could carry the key."""
     try:
         key.encode()
     except UnicodeEncodeError as failed:
         raise ValidationError("Not a Unicode text.") from failed
 
 
-class _Tenant(_Loose):
-    """`ratePerS`: 0 for no limit; `rank`: None for the route's."""
+class _Tenant(_IgnoreUnknown):
+    """`ratePerS`: 0 for no limit; `rank`: None for that of the route."""
 
     keys = fields.List(fields.String(validate=[validate.Length(min=1), _encodable]), required=True)
     ratePerS = _number(load_default=0.0)
@@ -107,7 +107,7 @@
 ROUTE, SERVICE, TENANT = _Route(), _Service(), _Tenant()
 
 
-def _first(messages, path):
+def _first_fault(messages, path):
     while isinstance(messages, dict):
         key, messages = next(iter(messages.items()))
         path = f"{path}.{key}"
@@ -115,8 +115,8 @@
 
 
 def check(routes, services, tenants):
-    """FieldWrongs of {name: facts} of each part; empty if all is well."""
-    wrong = []
+    """A list of FieldWrong for the facts, by name, of each part; empty if they are valid."""
+    faults = []
     parts = (
         ("services", SERVICE, services),
         ("routes", ROUTE, routes),
@@ -127,39 +127,41 @@
             try:
                 schema.load(facts)
             except (ValidationError, TypeError) as failed:
-                wrong.append(_first(getattr(failed, "messages", "unreadable"), f"{part}.{name}"))
-    return wrong or _clashes(routes, services) + _shared_keys(tenants)
+                faults.append(
+                    _first_fault(getattr(failed, "messages", "unreadable"), f"{part}.{name}")
+                )
+    return faults or _check_routes(routes, services) + _shared_keys(tenants)
 
 
 def _shared_keys(tenants):
-    """A FieldWrong for each tenant that has a key of an earlier one; keys aren't told."""
-    wrong, holders = [], {}
+    """A FieldWrong for each tenant with a key of an earlier one; keys themselves aren't shown."""
+    faults, owners = [], {}
     for name, tenant in tenants.items():
-        others = {holders.setdefault(key, name) for key in tenant["keys"]} - {name}
+        others = {owners.setdefault(key, name) for key in tenant["keys"]} - {name}
         for other in sorted(others):
-            wrong.append(FieldWrong(f"tenants.{name}.keys", f"a key is {other}'s"))
-    return wrong
+            faults.append(FieldWrong(f"tenants.{name}.keys", f"a key is {other}'s"))
+    return faults
 
 
-def _clashes(routes, services):
-    wrong, taken = [], {}
+def _check_routes(routes, services):
+    faults, names = [], {}
     for name, route in routes.items():
-        place = (route["host"].lower(), route["prefix"])
-        if place in taken:
-            wrong.append(FieldWrong(f"routes.{name}.prefix", f"same as {taken[place]}'s"))
-        taken[place] = name
+        route_key = (route["host"].lower(), route["prefix"])
+        if route_key in names:
+            faults.append(FieldWrong(f"routes.{name}.prefix", f"same as {names[route_key]}'s"))
+        names[route_key] = name
         if sum(share["weight"] for share in route["split"]) <= 0:
-            wrong.append(FieldWrong(f"routes.{name}.split", "weights sum to 0"))
+            faults.append(FieldWrong(f"routes.{name}.split", "weights sum to 0"))
         for share in route["split"]:
             if share["service"] not in services:
-                wrong.append(
+                faults.append(
                     FieldWrong(f"routes.{name}.split", f"no such service {share['service']}")
                 )
-    return wrong
+    return faults
 
 
 def section(routes, services, tenants=None):
-    """A section like a partner's, of checked routes, services and tenants."""
+    """A section like that of a partner, made of valid routes, services and tenants."""
     models = {
         m["name"]: {
             "roomMb": m.get("roomMb", 0.0),
@@ -169,11 +171,11 @@
         for facts in services.values()
         for m in facts.get("models", ())
     }
-    made = {}
+    section_services = {}
     for name, facts in services.items():
         per_s = facts.get("loadsPerS", 0.0)
         longest_ms = max((m.get("loadMs", 0.0) for m in facts.get("models", ())), default=0.0)
-        made[name] = {
+        section_services[name] = {
             **facts,
             "shares": {},
             "byDemand": True,
@@ -185,7 +187,7 @@
             },
         }
     return {
-        "services": made,
+        "services": section_services,
         "models": models,
         "wishes": {},
         "routes": routes,
--- a/libs/configuration/src/configuration/documents.py
+++ b/libs/configuration/src/configuration/documents.py
@@ -1,11 +1,10 @@
-"""A layout as its operators wrote it, kept so that it can be read back as sent.
-
-`document` is {"edition", "parts": {"routes": {name: item}, ...}, "rest": {...}}:
-lists of named items become mappings in the order they were written, the rest
-stays.  The list of tenants is optional: a document that doesn't name it has no such
-part.  A change is logged as what it changes only (`document_changes`).  Reading (items
-to facts) is the adapter's `Reader`; judging is done here: editions rise, a change builds
-on the present one, the same change again gets the same answer.
+"""Configurations in a platform's own form, kept so that operators can read back what they sent.
+
+A document is {"edition", "parts": {"routes": {name: item}, ...}, "rest": {...}}: lists of
+named items become mappings in the same order, all other keys are kept as they are.  The list of
+tenants is optional; a document without it has no such part.  A change is logged as a
+difference (`document_changes`).  The adapter's `Reader` turns items into facts; this module
+validates changes: editions increase, and a change names the current edition.
 """
 
 import json
@@ -14,19 +13,29 @@
 
 from transport.failures import FieldWrong, LayoutWrong, StampStale
 
-from configuration import checked_document, document_changes, passages
+from configuration import checked_document, document_changes, document_facts
 
-__all__ = ["Reader", "EMPTY", "judged", "as_sent", "named", "read", "Unreadable"]
+__all__ = [
+    "Reader",
+    "EMPTY",
+    "evaluate_change",
+    "operator_form",
+    "items_by_name",
+    "to_section",
+    "Unreadable",
+]
 
 EMPTY = {"edition": 0, "parts": {}, "rest": {}}
 
 
 @dataclass(frozen=True)
 class Reader:
-    """What the adapter knows of the form: names of the listed parts, and item readers.
+    """The platform's form: the keys of the listed parts, and functions that read items.
 
-    `route(item)`, `service(item)` and `tenant(item)` return facts as in `passages`,
-    raising KeyError, TypeError, ValueError or an ArithmeticError on what can't be read."""
+    `upsert` and `remove` are the keys of a partial change.  `route(item)`, `service(item)` and
+    `tenant(item)` return facts as described in `document_facts`; for an invalid item they raise
+    KeyError, TypeError, ValueError or ArithmeticError.
+    """
 
     edition: str
     routes: str
@@ -39,7 +48,7 @@
     tenant: Callable
 
     def parts(self):
-        """(name, item reader) of each listed part."""
+        """(key, function that reads an item) of each listed part."""
         return (
             (self.routes, self.route),
             (self.services, self.service),
@@ -48,15 +57,15 @@
 
 
 class Unreadable(Exception):
-    """A part that can't be read; `wrong` says where and why."""
+    """A part of the document is invalid; `fault` is its FieldWrong."""
 
     def __init__(self, field, cause):
         super().__init__(field)
-        self.wrong = FieldWrong(field, cause)
+        self.fault = FieldWrong(field, cause)
 
 
-def named(part, items):
-    """A list of named items as {name: item}."""
+def items_by_name(part, items):
+    """A list of named items as {name: item}; raises Unreadable."""
     if not isinstance(items, list):
         raise Unreadable(part, "not a list")
     found = {}
@@ -70,18 +79,18 @@
     return found
 
 
-def _whole(reader, body):
-    """A document of a whole layout."""
+def _from_complete(reader, body):
+    """The document of a complete configuration."""
     for part in (reader.routes, reader.services):
         if part not in body:
             raise Unreadable(part, "missing")
-    parts = {part: named(part, body[part]) for part, _ in reader.parts() if part in body}
+    parts = {part: items_by_name(part, body[part]) for part, _ in reader.parts() if part in body}
     rest = {k: v for k, v in body.items() if k not in parts and k != reader.edition}
     return {"edition": body[reader.edition], "parts": parts, "rest": rest}
 
 
-def _patched(reader, document, body):
-    """A document with named items replaced, added and removed."""
+def _apply_partial(reader, document, body):
+    """The document that results from a partial change: items are replaced, added, removed."""
     parts = {part: dict(items) for part, items in document["parts"].items()}
     upsert, remove = body.get(reader.upsert, {}), body.get(reader.remove, {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
@@ -96,13 +105,13 @@
     for part, items in upsert.items():
         if not _is_listed(reader, parts, part):
             raise Unreadable(f"{reader.upsert}.{part}", "no such list")
-        parts.setdefault(part, {}).update(named(part, items))
+        parts.setdefault(part, {}).update(items_by_name(part, items))
     rest = {k: v for k, v in document["rest"].items() if k not in parts}
     return {"edition": body[reader.edition], "parts": parts, "rest": rest}
 
 
 def _is_listed(reader, parts, part):
-    """Whether a partial change may name a part: one that is there, or the tenants."""
+    """Whether a partial change may name a part: an existing one, or the tenants."""
     return part in parts or part == reader.tenants
 
 
@@ -118,20 +127,21 @@
         raise Unreadable(at, unreadable.cause) from unreadable
 
 
-def read(checked):
-    """The section that a good document spells."""
-    return passages.section(checked.routes, checked.services, checked.tenants)
+def to_section(checked):
+    """The section that corresponds to a valid document."""
+    return document_facts.section(checked.routes, checked.services, checked.tenants)
 
 
-def judged(reader, document, body, checked=None):
-    """(what changes, None) or (None, failure) for a change to `document`.
+def evaluate_change(reader, document, body, checked=None):
+    """(difference, None) or (None, failure) for a change to `document`.
 
-    `body`: {"expect": the edition built on, "written": the change, "partial"}; `checked`
-    is the CheckedDocument of `document`, if there is one."""
-    told, expect = body.get("written"), body.get("expect")
-    if not isinstance(told, dict):
+    `body` is {"expect": the edition that the change is based on, "written": the configuration
+    or the partial change, "partial"}.  `checked` is the CheckedDocument of `document`, if known.
+    """
+    written, expect = body.get("written"), body.get("expect")
+    if not isinstance(written, dict):
         return None, LayoutWrong((FieldWrong("(whole)", "not an object"),))
-    edition = told.get(reader.edition)
+    edition = written.get(reader.edition)
     if not isinstance(edition, int) or isinstance(edition, bool) or edition < 1:
         return None, LayoutWrong((FieldWrong(reader.edition, "not a whole number from 1"),))
     if expect != document["edition"]:
@@ -139,34 +149,38 @@
     if edition <= document["edition"]:
         return None, LayoutWrong((FieldWrong(reader.edition, "not above the current one"),))
     try:
-        made = _patched(reader, document, told) if body.get("partial") else _whole(reader, told)
-        touched = _touched(reader, document, told, made, body.get("partial"))
-        document_changes.keep_same(document, made, touched)
+        changed = (
+            _apply_partial(reader, document, written)
+            if body.get("partial")
+            else _from_complete(reader, written)
+        )
+        touched = _touched(reader, document, written, changed, body.get("partial"))
+        document_changes.reuse_unchanged(document, changed, touched)
         known = checked is not None
-        if not known or not checked_document.accepts(reader, checked, made, touched):
-            wrong = passages.check(*_facts(reader, made))
-            if wrong:
-                return None, LayoutWrong(tuple(wrong[:100]))
+        if not known or not checked_document.is_surely_valid(reader, checked, changed, touched):
+            faults = document_facts.check(*_facts(reader, changed))
+            if faults:
+                return None, LayoutWrong(tuple(faults[:100]))
     except Unreadable as unreadable:
-        return None, LayoutWrong((unreadable.wrong,))
-    return document_changes.difference(document, made), None
+        return None, LayoutWrong((unreadable.fault,))
+    return document_changes.difference(document, changed), None
 
 
-def _touched(reader, old, told, new, partial):
-    """{part: names of the items in which `new` may differ from `old`}."""
+def _touched(reader, old, written, new, partial):
+    """{part: names of the items that may differ between `old` and `new`}."""
     found = {}
     for part, _ in reader.parts():
         if partial:
-            upsert = told.get(reader.upsert, {}).get(part, ())
+            upsert = written.get(reader.upsert, {}).get(part, ())
             found[part] = {item["name"] for item in upsert}
-            found[part].update(told.get(reader.remove, {}).get(part, ()))
+            found[part].update(written.get(reader.remove, {}).get(part, ()))
         else:
             found[part] = set(new["parts"].get(part, ())) | set(old["parts"].get(part, ()))
     return found
 
 
-def as_sent(reader, document):
-    """The whole document in its operators' form."""
+def operator_form(reader, document):
+    """The whole document in the platform's form, as JSON."""
     return json.dumps(
         {
             reader.edition: document["edition"],
--- a/libs/configuration/src/configuration/merging.py
+++ b/libs/configuration/src/configuration/merging.py
@@ -1,21 +1,20 @@
-"""Joining a changed section with the others' and checking the whole.
+"""Applies partial changes to a partner's section and checks it together with the others.
 
-A partial layout is a merge patch on the partner's own section: objects are
-merged key by key, null removes a key, anything else replaces.  The result is
-checked whole before it is taken; a partner's section may name the other's
-services but only its own models, and shares may never add up to more than
-there is.
+A partial change is a JSON merge patch of the partner's own section: objects are merged key by
+key, null removes a key, anything else replaces the value.  The result is checked before it is
+accepted: a section may name services of other partners but only its own models, and the shares
+of a service add up to 1 at most.
 """
 
 from transport.failures import FieldWrong
 
-from configuration import passages, schema
+from configuration import document_facts, schema
 
-__all__ = ["patched", "whole"]
+__all__ = ["check_section", "merge_patch"]
 
 
-def patched(section, patch):
-    """A new section: `patch` merged over `section`."""
+def merge_patch(section, patch):
+    """`section` with the JSON merge patch `patch` applied; the original is not changed."""
     if not isinstance(patch, dict):
         return patch
     result = dict(section) if isinstance(section, dict) else {}
@@ -23,33 +22,33 @@
         if value is None:
             result.pop(key, None)
         else:
-            result[key] = patched(result.get(key), value)
+            result[key] = merge_patch(result.get(key), value)
     return result
 
 
-def whole(sections, partner, section, zones):
-    """Check `section` as `partner`'s among all `sections`.
+def check_section(sections, partner, section, zones):
+    """Check `section` as that of `partner`, together with the other `sections`.
 
-    Returns (checked section, list of FieldWrong); `zones` are those known.
+    Returns (section with defaults or None, list of FieldWrong); `zones` are the known zones.
     """
-    checked, wrong = schema.check(section)
-    if wrong:
-        return None, wrong
+    checked, faults = schema.check(section)
+    if faults:
+        return None, faults
     merged = {**sections, partner: checked}
     services = {
         name: (owner, s)
-        for owner, sec in sorted(merged.items())
-        for name, s in sec["services"].items()
+        for owner, partner_section in sorted(merged.items())
+        for name, s in partner_section["services"].items()
     }
-    wrong = list(_clashes(sections, partner, checked))
-    wrong += _shares(checked, merged)
-    wrong += _weights(checked)
-    wrong += _wishes(merged, services, partner, zones)
-    wrong += _routes(merged, services, partner)
-    return (None, wrong) if wrong else (checked, [])
+    faults = list(_duplicate_names(sections, partner, checked))
+    faults += _shares(checked, merged)
+    faults += _weights(checked)
+    faults += _wishes(merged, services, partner, zones)
+    faults += _routes(merged, services, partner)
+    return (None, faults) if faults else (checked, [])
 
 
-def _clashes(sections, partner, checked):
+def _duplicate_names(sections, partner, checked):
     for other, section in sections.items():
         if other == partner:
             continue
@@ -59,66 +58,70 @@
 
 
 def _shares(checked, merged):
-    wrong = []
+    faults = []
     for name, service in checked["services"].items():
         total = sum(service["shares"].values())
         if total > 1 + 1e-9:
-            wrong.append(FieldWrong(f"services.{name}.shares", "more than 1 in all"))
+            faults.append(FieldWrong(f"services.{name}.shares", "more than 1 in all"))
         for partner in sorted(set(service["shares"]) - set(merged)):
-            wrong.append(FieldWrong(f"services.{name}.shares.{partner}", "no such partner"))
-    return wrong
+            faults.append(FieldWrong(f"services.{name}.shares.{partner}", "no such partner"))
+    return faults
 
 
 def _weights(checked):
-    wrong = []
+    faults = []
     for key in ("atOnce", "perMinute"):
-        given = sum(s["loads"][key] for s in checked["services"].values())
-        if given > checked["weightStore"][key]:
-            wrong.append(FieldWrong(f"weightStore.{key}", f"services are given {given} in all"))
-    return wrong
+        total_loads = sum(s["loads"][key] for s in checked["services"].values())
+        if total_loads > checked["weightStore"][key]:
+            faults.append(
+                FieldWrong(f"weightStore.{key}", f"services are given {total_loads} in all")
+            )
+    return faults
 
 
-def _target(section, services, at, want, needs_model, models):
-    wrong = []
-    if want["service"] not in services:
+def _check_target(section, services, at, target, needs_model, models):
+    faults = []
+    if target["service"] not in services:
         return [FieldWrong(f"{at}.service", "no such service")]
-    kind = services[want["service"]][1]["kind"]
+    kind = services[target["service"]][1]["kind"]
     if kind == "plain":
-        if want["model"]:
-            wrong.append(FieldWrong(f"{at}.model", "a plain service holds no models"))
-        return wrong
-    if want["model"] not in models:
-        if needs_model or want["model"]:
-            wrong.append(FieldWrong(f"{at}.model", "not one of this partner's models"))
-    elif want["adapter"] and want["adapter"] not in models[want["model"]]["adapters"]:
-        wrong.append(FieldWrong(f"{at}.adapter", "no such adapter of that model"))
-    return wrong
+        if target["model"]:
+            faults.append(FieldWrong(f"{at}.model", "a plain service holds no models"))
+        return faults
+    if target["model"] not in models:
+        if needs_model or target["model"]:
+            faults.append(FieldWrong(f"{at}.model", "not one of this partner's models"))
+    elif target["adapter"] and target["adapter"] not in models[target["model"]]["adapters"]:
+        faults.append(FieldWrong(f"{at}.adapter", "no such adapter of that model"))
+    return faults
 
 
 def _wishes(merged, services, partner, zones):
-    """All wishes are checked, the other partners' too: a removed service or
-    model that somebody still wishes for is refused."""
-    wrong = []
+    """Check all partners' wishes, since a change may remove a service or model that another
+    partner's wish names."""
+    faults = []
     for owner, section in sorted(merged.items()):
         prefix = "wishes" if owner == partner else f"({owner}).wishes"
         for name, wish in section["wishes"].items():
             at = f"{prefix}.{name}"
-            wrong += _target(section, services, at, wish, True, section["models"])
+            faults += _check_target(section, services, at, wish, True, section["models"])
             if owner == partner and zones:
-                wrong += [
+                faults += [
                     FieldWrong(f"{at}.zones", f"unknown zone {zone}")
                     for zone in wish["zones"]
                     if zone not in zones
                 ]
-    return wrong
+    return faults
 
 
 def _routes(merged, services, partner):
-    wrong = []
+    faults = []
     for owner, section in sorted(merged.items()):
-        if owner == passages.OWNER:
+        if owner == document_facts.OWNER:
             continue
         prefix = "routes" if owner == partner else f"({owner}).routes"
         for name, route in section["routes"].items():
-            wrong += _target(section, services, f"{prefix}.{name}", route, False, section["models"])
-    return wrong
+            faults += _check_target(
+                section, services, f"{prefix}.{name}", route, False, section["models"]
+            )
+    return faults
--- a/libs/configuration/src/configuration/registry.py
+++ b/libs/configuration/src/configuration/registry.py
@@ -1,34 +1,33 @@
-"""Shard 0: the layout, the zones evacuated and the platform's engine list.
+"""The registry, kept in shard 0: the layout, the evacuated zones and the engine list.
 
-`decide` checks an operator's wish against the present registry and answers
-with the record to log, or a failure; `apply` is what every follower does with
-a logged record.  Each change has an id: asked again, it gets the answer it
-got.  Stamps are one numbered line for all changes.
+`decide` validates a change that an operator requests, and returns the record to log or a
+failure; every follower applies logged records with `apply`.  Each change has an id, and a
+repeated change gets the answer of the first.  Stamps number all changes in one sequence.
 """
 
 import json
 from dataclasses import dataclass, field
 
 from transport.failures import (
+    EarlierRefusal,
     EditionAhead,
     FieldWrong,
-    RefusedBefore,
     StampStale,
     as_json,
 )
 
 from configuration import (
-    answers,
+    change_answers,
+    change_validation,
     checked_document,
     document_changes,
+    document_facts,
     documents,
     earlier_records,
-    judging,
-    passages,
 )
-from configuration.answers import Answers
+from configuration.change_answers import ChangeAnswers
 from configuration.checked_document import CheckedDocument
-from configuration.views import asks_for_keys, models, services, tenants, zone_names
+from configuration.lookups import models, requires_keys, services, tenants, zone_names
 
 __all__ = [
     "Registry",
@@ -40,25 +39,33 @@
     "services",
     "models",
     "tenants",
-    "asks_for_keys",
+    "requires_keys",
     "zone_names",
     "VERBS",
 ]
 
 VERBS = ("layout", "zone", "engine", "engines", "written")
-# Given by the settings, or made of the rest.
+# Taken from the settings, or derived from the other fields.
 _NOT_DUMPED = ("zonesKnown", "memo", "reader", "checked")
 
 
 @dataclass
 class Registry:
+    """The state of shard 0; a checkpoint is the JSON of its fields under their names.
+
+    `sections` and `stamps` are by partner, `engines` by name, `changes` by change id.  `zones`
+    are the evacuated ones; `zoneStamps` the stamps of each zone's last change.  `document` is
+    the configuration in the platform's form, `reader` the Reader of it, `checked` what is known
+    of it, `memo` a cache of `lookups`.
+    """
+
     stamp: int = 0
     sections: dict = field(default_factory=dict)
     stamps: dict = field(default_factory=dict)
     zones: dict = field(default_factory=dict)
     zoneStamps: dict = field(default_factory=dict)
     engines: dict = field(default_factory=dict)
-    changes: Answers = field(default_factory=Answers)
+    changes: ChangeAnswers = field(default_factory=ChangeAnswers)
     document: dict = field(default_factory=lambda: documents.EMPTY)
     zonesKnown: tuple = ()
     reader: object = field(default=None, repr=False, compare=False)
@@ -67,69 +74,70 @@
 
 
 def replay(registry, records):
-    """Apply many records; a written layout is read once, as it is after the last."""
+    """Apply logged records; the document is read once, after the last of them."""
     found = [_apply(registry, record) for record in records]
-    differences = [told for told in found if told]
+    differences = [content for content in found if content]
     if differences:
-        _reread(registry, differences)
+        _update_section(registry, differences)
 
 
 def apply(registry, record):
-    """What can't be read, or is of a later version's kind, changes nothing."""
+    """Apply a logged record; an unreadable one, or one of an unknown kind, changes nothing."""
     replay(registry, [record])
 
 
 def _apply(registry, record):
-    """Apply a record; what it says of the written layout, if anything."""
+    """Apply a record; returns the difference of documents that it holds, if it does."""
     try:
-        told = json.loads(record)
-        kind = told["k"]
+        content = json.loads(record)
+        kind = content["k"]
     except (ValueError, KeyError, TypeError):
         return None
     if kind not in ("layout", "zone", "engines", "same", "refused", "written"):
         return None
-    registry.stamp = told["stamp"]
+    registry.stamp = content["stamp"]
     if kind in ("layout", "written"):
         registry.memo.clear()
     if kind == "layout":
-        registry.sections[told["partner"]] = told["section"]
-        registry.stamps[told["partner"]] = told["stamp"]
+        registry.sections[content["partner"]] = content["section"]
+        registry.stamps[content["partner"]] = content["stamp"]
     elif kind == "written":
-        told = earlier_records.translated(registry.reader, registry.document, told)
-        registry.document = document_changes.merged(registry.document, told)
-        registry.stamps[passages.OWNER] = told["stamp"]
+        content = earlier_records.upgrade_difference(registry.reader, registry.document, content)
+        registry.document = document_changes.apply_difference(registry.document, content)
+        registry.stamps[document_facts.OWNER] = content["stamp"]
     elif kind == "zone":
-        registry.zoneStamps[told["zone"]] = told["stamp"]
-        if told["evacuated"]:
-            registry.zones[told["zone"]] = told["stamp"]
+        registry.zoneStamps[content["zone"]] = content["stamp"]
+        if content["evacuated"]:
+            registry.zones[content["zone"]] = content["stamp"]
         else:
-            registry.zones.pop(told["zone"], None)
+            registry.zones.pop(content["zone"], None)
     elif kind == "engines":
-        for engine in told["engines"]:
+        for engine in content["engines"]:
             registry.engines[engine["name"]] = engine
             if engine["state"] == "gone":
                 del registry.engines[engine["name"]]
-    if told.get("change"):
-        registry.changes.remember(told["change"], told.get("answer", told["stamp"]))
-    return told if kind == "written" else None
+    if content.get("change"):
+        registry.changes.record(content["change"], content.get("answer", content["stamp"]))
+    return content if kind == "written" else None
 
 
-def _reread(registry, differences=()):
-    """The written layout as a section beside the partners' own, read anew where it
-    differs from what was read before."""
+def _update_section(registry, differences=()):
+    """Update the section that corresponds to the document, reading only what changed."""
     reader, document = registry.reader, registry.document
     if reader is None or not document["edition"]:
         return
-    registry.checked = checked_document.advanced(reader, registry.checked, document, differences)
-    registry.sections[passages.OWNER] = documents.read(registry.checked)
+    registry.checked = checked_document.after_differences(
+        reader, registry.checked, document, differences
+    )
+    registry.sections[document_facts.OWNER] = documents.to_section(registry.checked)
 
 
 def decide(registry, verb, body):
-    """Return (record or None, answer dict or None, Failure or None).
+    """Return (record to log or None, answer dict or None, Failure or None).
 
-    Whatever the answer, it is recorded under the change's id, refusals and
-    changes of nothing too: a copy of the same change that arrives later, when
-    things have changed, must not come to another answer.
+    Every answer is recorded under the change's id, also a refusal or that of a change without
+    effect: a copy of the change that arrives later, when the registry has changed, must get the
+    same answer.
     """
     if not isinstance(body, dict):
         return None, None, FieldWrong("(whole)", "not an object")
@@ -137,54 +145,57 @@
     if not isinstance(change, str) or len(change) > 128:
         return None, None, FieldWrong("change", "not a short text")
     if change and change in registry.changes:
-        return None, *_told_before(registry.changes[change])
-    told, failure = judging.judged(registry, verb, body)
+        return None, *_recorded_answer(registry.changes[change])
+    content, failure = change_validation.evaluate_change(registry, verb, body)
     if body.get("may_wait") and _is_ahead(failure):
         return None, None, EditionAhead(failure.expected, failure.current)
-    stamp = registry.stamp + (told is not None)
+    stamp = registry.stamp + (content is not None)
     if failure:
-        answer = answers.shortened({"status": failure.status, "told": as_json(failure)})
-        told = {"k": "refused", "answer": answer}
-    elif told is None:
+        answer = change_answers.truncated({"status": failure.status, "told": as_json(failure)})
+        content = {"k": "refused", "answer": answer}
+    elif content is None:
         answer = {"status": 200, "told": {"stamp": stamp, "same": True}}
-        told = {"k": "same", "answer": answer}
-    if told["k"] in ("refused", "same") and not change:
+        content = {"k": "same", "answer": answer}
+    if content["k"] in ("refused", "same") and not change:
         return None, None if failure else {"stamp": stamp, "same": True}, failure
-    record = _pack({**told, "stamp": stamp, "change": change})
+    record = _pack({**content, "stamp": stamp, "change": change})
     if failure:
         return record, None, failure
-    return record, {"stamp": stamp, **({"same": True} if told["k"] == "same" else {})}, None
+    return record, {"stamp": stamp, **({"same": True} if content["k"] == "same" else {})}, None
 
 
 def _is_ahead(failure):
     return isinstance(failure, StampStale) and failure.expected > failure.current
 
 
-def _told_before(kept):
+def _recorded_answer(kept):
     if isinstance(kept, dict) and kept["status"] == 200:
         return {**kept["told"], "again": True}, None
     if isinstance(kept, dict):
-        return None, RefusedBefore(kept["status"], kept["told"])
+        return None, EarlierRefusal(kept["status"], kept["told"])
     return {"stamp": kept, "again": True}, None
 
 
-def _pack(told):
-    return json.dumps(told, separators=(",", ":")).encode()
+def _pack(content):
+    return json.dumps(content, separators=(",", ":")).encode()
 
 
 def dump(registry):
-    """The registry as a checkpoint; a written layout is kept as its document only."""
+    """The registry as a checkpoint; the section that is derived from the document is left out."""
     fields = {k: v for k, v in vars(registry).items() if k not in _NOT_DUMPED}
     if registry.document["edition"]:
-        fields["sections"] = {k: v for k, v in registry.sections.items() if k != passages.OWNER}
+        fields["sections"] = {
+            k: v for k, v in registry.sections.items() if k != document_facts.OWNER
+        }
     return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def load(body, zonesKnown=(), reader=None):
+    """The registry of a checkpoint; an empty one if `body` is empty."""
     if not body:
         return Registry(zonesKnown=zonesKnown, reader=reader)
     registry = Registry(**json.loads(body), zonesKnown=zonesKnown, reader=reader)
-    registry.changes = Answers(registry.changes)
-    registry.document = earlier_records.document(reader, registry.document)
-    _reread(registry)
+    registry.changes = ChangeAnswers(registry.changes)
+    registry.document = earlier_records.upgrade_document(reader, registry.document)
+    _update_section(registry)
     return registry
--- a/libs/transport/src/transport/socket_state.py
+++ b/libs/transport/src/transport/socket_state.py
@@ -1,4 +1,4 @@
-"""Whether the other end of a socket is still there."""
+"""Detects sockets whose other end has closed the connection."""
 
 import select
 
@@ -8,7 +8,7 @@
 
 
 def closed_by_peer(sock):
-    """Whether the other end has closed, whatever it sent before, without waiting."""
+    """Whether the peer has closed the connection, even if unread data remains; doesn't block."""
     try:
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
--- a/tests/test_platform_refused.py
+++ b/tests/test_platform_refused.py
@@ -4,7 +4,7 @@
 import random
 
 from simulation import platform_made as made
-from test_platform_written import Operator, exact
+from test_platform_configuration import Operator, exact
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
@@ -197,4 +197,4 @@
             taken = operator.registry.document["edition"] > 0
             self.assertThat(taken, Equals(code == 200))
             if taken:
-                self.assertThat(operator.back(), Equals(exact(whole)))
+                self.assertThat(operator.read_back(), Equals(exact(whole)))
