--- a/libs/placement/src/placement/floor.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -10,7 +10,7 @@
 from replication import state_machine
 
 from placement import ledger as ledgers
-from placement import world
+from placement import registry_view
 
 __all__ = ["Floor", "LedgerNews", "on_news", "ledger_of", "engines_with", "incarnation", "servable"]
 
@@ -82,13 +82,17 @@
 def engines_with(floor, service, item):
     """Engines that may be given new work for an item (any, for a plain service): none that
     is suspect, unless that leaves a plain service without any."""
-    ledger = ledger_of(floor, world.shard_of(service, floor.shards))
+    ledger = ledger_of(floor, registry_view.shard_of(service, floor.shards))
     engines = floor.registry.engines
     named = [name for name, e in engines.items() if e["service"] == service]
     if item:
         held = ledger.engines
         named = [n for n in named if item in held.get(n, ()) and ledgers.loaded(ledger, n, item)]
-    found = [engines[name] for name in sorted(named) if world.usable(floor.registry, engines[name])]
+    found = [
+        engines[name]
+        for name in sorted(named)
+        if registry_view.usable(floor.registry, engines[name])
+    ]
     sound = [e for e in found if e["name"] not in ledger.suspects]
     return sound if sound or item else found
 
@@ -99,7 +103,7 @@
     engines, found = floor.registry.engines, []
     for name in engines if names is None else names & engines.keys():
         engine = engines[name]
-        ledger = ledger_of(floor, world.shard_of(engine["service"], floor.shards))
+        ledger = ledger_of(floor, registry_view.shard_of(engine["service"], floor.shards))
         held = ledger.engines.get(engine["name"], {}).values()
         if engine["name"] in ledger.incarnations and (
             not engine["roomMb"] or any(i["state"] == "loaded" for i in held)
@@ -110,5 +114,5 @@
 
 def incarnation(floor, engine):
     """The incarnation last reported of an engine."""
-    ledger = ledger_of(floor, world.shard_of(engine["service"], floor.shards))
+    ledger = ledger_of(floor, registry_view.shard_of(engine["service"], floor.shards))
     return ledger.incarnations.get(engine["name"], "")
--- a/libs/placement/src/placement/asked.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -13,11 +13,11 @@
 from placement import (
     demand_view,
     engine_view,
-    making_room,
+    eviction,
     order_notes,
     orders,
+    registry_view,
     waiting_summary,
-    world,
 )
 from placement.demand import FADE_MS, learn_run, tell
 from placement.demand_view import View
@@ -37,7 +37,7 @@
     """Give the orders that are due now; at most one an engine."""
     engines = {
         e.name: e
-        for e in world.placement_engines(registry, name, engine_view.reports_of(p))
+        for e in registry_view.placement_engines(registry, name, engine_view.reports_of(p))
         if e.name not in p.ledger.suspects
     }
     if not engines:
@@ -76,14 +76,14 @@
     missing = [
         item
         for item in view.wished
-        if not view.copies.get(item) and world.size_of(view.registry, item) is not None
+        if not view.copies.get(item) and registry_view.size_of(view.registry, item) is not None
     ]
     claims = {item: demand_view.claim(view, item) for item in missing}
     by_claim = sorted(claims, key=lambda i: (-claims[i], i))
     _bring_each(view, [i for i in by_claim if "/" in i], claims)
-    _more_copies(view, making_room.needed_copies, 1.0)
+    _more_copies(view, eviction.needed_copies, 1.0)
     _bring_each(view, [i for i in by_claim if "/" not in i], claims)
-    _more_copies(view, making_room.wanted_copies, making_room.SPARE)
+    _more_copies(view, eviction.wanted_copies, eviction.SPARE)
 
 
 def _bring_each(view, items, claims):
@@ -119,7 +119,7 @@
     copies = view.copies.get(item, 0)
     if not copies:
         return item in view.wished
-    return copies < making_room.wanted_copies(view, item)
+    return copies < eviction.wanted_copies(view, item)
 
 
 def _bring(view, item, most):
@@ -136,11 +136,11 @@
 
 def _bring_adapter(view, item, model):
     hosts = [n for n in view.hosts.get(model, ()) if n in view.idle]
-    size = world.size_of(view.registry, item)
+    size = registry_view.size_of(view.registry, item)
 
     def pushed(name):
         items = view.placer.ledger.engines[name]
-        usedMb, places = world.charged(view.registry, view.placer.ledger, name)
+        usedMb, places = registry_view.charged(view.registry, view.placer.ledger, name)
         if places + size[1] <= view.engines[name].places and (
             usedMb + size[0] <= view.engines[name].roomMb
         ):
@@ -171,7 +171,7 @@
 
 def _bring_model(view, model, beside, most):
     """Choose the engine where a model costs least, and take the next step there."""
-    size_mb = world.size_of(view.registry, model)[0]
+    size_mb = registry_view.size_of(view.registry, model)[0]
     kept = view.placer.demand.making.get(model)
     names = [kept[0]] if kept else [n for n in sorted(view.idle) if n not in beside]
     taken = {m[0] for i, m in view.placer.demand.making.items() if i != model}
@@ -183,7 +183,7 @@
             or model in view.placer.ledger.engines.get(name, {})
         ):
             continue
-        pushed = making_room.pushed_out(view, name, model, size_mb)
+        pushed = eviction.pushed_out(view, name, model, size_mb)
         if pushed is None or pushed[0] > most:
             continue
         known = model in view.placer.demand.before.get(name, ())
@@ -220,7 +220,7 @@
     ):
         return
     view.idle.discard(name)
-    size = world.size_of(view.registry, item)
+    size = registry_view.size_of(view.registry, item)
     orders.give(view.placer, name, item, "load", size[0], size[1], view.name)
     view.copies[item] = view.copies.get(item, 0) + 1
     view.placer.demand.making.pop(item, None)
--- a/libs/placement/src/placement/again.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -8,7 +8,7 @@
 
 from transport.effects import Call, Wake
 
-from placement import engine_view, line, order_notes, world
+from placement import engine_view, load_queue, order_notes, registry_view
 from placement import ledger as ledgers
 from placement.state import PendingCall, log
 
@@ -66,7 +66,7 @@
     if state in ("loaded", "unloaded"):
         _done(p, now_ms, engine, item, entry, state)
         if state == "loaded" and not first and "/" not in item:
-            line.learn(p, now_ms, engine, entry)
+            load_queue.learn(p, now_ms, engine, entry)
     if state == "refused":
         p.plan.refused_ms[engine, item] = now_ms
         p.demand.pauseMs[engine] = now_ms + terms.call_ms / 10
@@ -111,9 +111,13 @@
     if now_ms >= last_ms or p.held.lost:
         return []
     effects, soon_ms = [], float("inf")
-    for engine in world.engines_of(registry, name):
+    for engine in registry_view.engines_of(registry, name):
         view = p.engines.get(engine["name"])
-        if view is None or not world.usable(registry, engine) or not engine_view.count_known(view):
+        if (
+            view is None
+            or not registry_view.usable(registry, engine)
+            or not engine_view.count_known(view)
+        ):
             continue
         for item, entry in p.ledger.engines.get(engine["name"], {}).items():
             order = entry["order"]
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -8,7 +8,7 @@
 the very same count.
 """
 
-from placement import engine_view, line, order_notes, world
+from placement import engine_view, load_queue, order_notes, registry_view
 from placement import ledger as ledgers
 from placement.engine_view import Report
 from placement.state import log
@@ -83,7 +83,7 @@
             continue
         state = _settled(placer, now_ms, view, item, entry, report)
         if state == "loaded" and entry["verb"] == "load":
-            line.learn(placer, now_ms, engine, entry)
+            load_queue.learn(placer, now_ms, engine, entry)
         if state:
             engine_view.settled(view, now_ms, item, entry["order"])
             order_notes.reported(placer, now_ms, engine, item, entry, state, report)
@@ -151,8 +151,8 @@
     nothing is loaded beside it before it is gone or named."""
     found = {}
     for item, state in items.items():
-        size = world.size_of(registry, item)
-        mb, places = size[:2] if size else world.room_of(registry, engine)
+        size = registry_view.size_of(registry, item)
+        mb, places = size[:2] if size else registry_view.room_of(registry, engine)
         found[item] = {
             "state": "loaded" if state == "loaded" else "taken",
             "mb": mb,
--- a/libs/placement/src/placement/making_room.py
+++ b/libs/placement/src/placement/eviction.py
@@ -2,7 +2,7 @@
 
 import math
 
-from placement import world
+from placement import registry_view
 from placement.demand_view import claim
 
 __all__ = ["SPARE", "needed_copies", "pushed_out", "wanted_copies", "worth"]
@@ -55,7 +55,7 @@
 def pushed_out(view, name, model, size_mb):
     """(cost, models to push out) to make room for a model on an engine, or None."""
     items = view.placer.ledger.engines.get(name, {})
-    usedMb, _ = world.charged(view.registry, view.placer.ledger, name)
+    usedMb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
     free_mb = view.engines[name].roomMb - usedMb
     if free_mb >= size_mb:
         return 0.0, ()
@@ -66,7 +66,7 @@
         if view.now_ms - view.placer.demand.up_ms.get((name, other), -1e12) < _KEEP_MS:
             continue
         own_mb = sum(
-            world.charge_of(view.registry, i, e)[0]
+            registry_view.charge_of(view.registry, i, e)[0]
             for i, e in items.items()
             if i.partition("/")[0] == other
         )
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -6,7 +6,7 @@
 takeover, so two holders together never spend more than one may.
 """
 
-from placement import again, engine_view, line, order_notes, placement, world
+from placement import engine_calls, engine_view, load_queue, order_notes, placement, registry_view
 from placement import ledger as ledgers
 from placement.state import log
 
@@ -20,10 +20,10 @@
     p.plan.refused_ms = {
         k: ms for k, ms in p.plan.refused_ms.items() if now_ms - ms < 2 * terms.call_ms
     }
-    engines = world.placement_engines(registry, name, engine_view.reports_of(p))
+    engines = registry_view.placement_engines(registry, name, engine_view.reports_of(p))
     made = _made(p, registry, name, service, engines)
     if engines:
-        line.give_up(p, now_ms, name, service["loads"], made, terms)
+        load_queue.give_up(p, now_ms, name, service["loads"], made, terms)
     sizes = {e.name: e for e in engines}
     for engine in engines:
         _unload(p, registry, engine, name, made, sizes)
@@ -44,9 +44,9 @@
         e: {i for i, entry in items.items() if entry["verb"] == "load"}
         for e, items in p.ledger.engines.items()
     }
-    wishes = world.wishes_of(registry, name, p.ledger)
-    made = placement.place(engines, wishes, world.shares_of(service), present)
-    p.plan.queues[name] = line.queue(p, name, made, {w.id: w.yields for w in wishes})
+    wishes = registry_view.wishes_of(registry, name, p.ledger)
+    made = placement.place(engines, wishes, registry_view.shares_of(service), present)
+    p.plan.queues[name] = load_queue.queue(p, name, made, {w.id: w.yields for w in wishes})
     _tell_unmet(p, name, made, service)
     p.plan.plans[name] = (inputs, made)
     return made
@@ -75,7 +75,7 @@
     order = f"{p.shard}.{p.epoch}.{number}"
     order_notes.ordered(p, engine, item, verb, order)
     body = {
-        **again.order_body(p, engine, item, order),
+        **engine_calls.order_body(p, engine, item, order),
         "shard": p.shard,
         "number": number,
         "roomMb": mb,
@@ -116,7 +116,7 @@
             continue
         if "/" not in item and any(other.startswith(item + "/") for other in items):
             continue
-        if not missing and world.size_of(registry, item) is not None:
+        if not missing and registry_view.size_of(registry, item) is not None:
             continue
         if not _may_order(p, engine.name):
             return
@@ -137,8 +137,8 @@
     base = item.partition("/")[0]
     if "/" in item and not ledgers.loaded(p.ledger, engine.name, base):
         return False
-    size = world.size_of(registry, item)
-    usedMb, used_places = world.charged(registry, p.ledger, engine.name)
+    size = registry_view.size_of(registry, item)
+    usedMb, used_places = registry_view.charged(registry, p.ledger, engine.name)
     return (
         size is not None
         and usedMb + size[0] <= engine.roomMb
@@ -150,7 +150,7 @@
     """Order it, if the store bears it."""
     if not store_allows(p, now_ms, name, service["loads"]):
         return False
-    size = world.size_of(registry, item)
+    size = registry_view.size_of(registry, item)
     give(p, engine, item, "load", size[0], size[1], name)
     return True
 
@@ -168,7 +168,7 @@
 
 def store_allows(p, now_ms, name, loads):
     """Whether one more load keeps within the service's part of the store; takes it."""
-    burst, per_ms = line.store_rate(loads)
+    burst, per_ms = load_queue.store_rate(loads)
     out = ledgers.loads_out(p.ledger, name, loads.get("adapters", True))
     if out >= _at_once(loads, per_ms * p.plan.load_ms.get(name, 0.0)):
         return False
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -12,17 +12,17 @@
 from transport.effects import Reply, Wake
 
 from placement import (
-    again,
-    asked,
     demand,
+    demand_planner,
+    engine_calls,
     engine_reports,
     engine_view,
-    line,
+    load_queue,
     order_notes,
     orders,
     placement,
+    registry_view,
     suspects,
-    world,
 )
 from placement import ledger as ledgers
 from placement.engine_view import Poll
@@ -56,14 +56,14 @@
     effects = _poll(p, now_ms, registry, shards, terms)
     _drop_gone(p, now_ms, registry, terms)
     _expire_holds(p, now_ms)
-    line.drop_lost(p, lost)
+    load_queue.drop_lost(p, lost)
     suspects.due(p, now_ms, registry, shards, terms)
     if now_ms >= p.not_before_ms:
         p.plan.planned_ms = now_ms
-        for name, service in world.services_of(registry, p.shard, shards).items():
+        for name, service in registry_view.services_of(registry, p.shard, shards).items():
             if service.get("byDemand"):
-                asked.plan(p, now_ms, registry, name, service, terms)
-                effects += again.due(p, now_ms, registry, name, terms, lease_end_ms)
+                demand_planner.plan(p, now_ms, registry, name, service, terms)
+                effects += engine_calls.due(p, now_ms, registry, name, terms, lease_end_ms)
             elif service["kind"] == "models":
                 orders.plan(p, now_ms, registry, name, service, terms)
     return effects + order_notes.drain(p)
@@ -71,14 +71,16 @@
 
 def _poll(p, now_ms, registry, shards, terms):
     effects = []
-    for name, service in world.services_of(registry, p.shard, shards).items():
+    for name, service in registry_view.services_of(registry, p.shard, shards).items():
         if service.get("byDemand") and service["kind"] == "plain":
             continue
-        for engine in world.engines_of(registry, name):
+        for engine in registry_view.engines_of(registry, name):
             if not _poll_due(p, now_ms, engine, service, terms):
                 continue
             poll = poll_of(p, now_ms, engine["name"])
-            effects.append(again.call(p, now_ms, poll.id, "report", engine, {}, terms, "", ""))
+            effects.append(
+                engine_calls.call(p, now_ms, poll.id, "report", engine, {}, terms, "", "")
+            )
     return effects
 
 
@@ -148,11 +150,11 @@
         may_send = facts is not None and now_ms < last_ms and not p.held.lost
         if may_send and verb == "load":
             may_send = _still_fits(p, registry, facts)
-        if not may_send or not world.usable(registry, facts):
+        if not may_send or not registry_view.usable(registry, facts):
             log(p, ledgers.state_record(engine, item, order, "refused"))
             return []
         engine_view.order_sent(engine_view.view_of(p, engine), order)
-        return [again.call(p, now_ms, order, verb, facts, body, terms, item, order, last_ms)]
+        return [engine_calls.call(p, now_ms, order, verb, facts, body, terms, item, order, last_ms)]
     return []
 
 
@@ -160,8 +162,8 @@
     """Whether a load still fits with the sizes told now: another configuration may be in force
     than when the order was logged, and have grown what is charged beyond the room."""
     logged_mb, logged_places = ledgers.charged(p.ledger, facts["name"])
-    used_mb, used_places = world.charged(registry, p.ledger, facts["name"])
-    room_mb, places = world.room_of(registry, facts)
+    used_mb, used_places = registry_view.charged(registry, p.ledger, facts["name"])
+    room_mb, places = registry_view.room_of(registry, facts)
     return used_mb <= max(room_mb, logged_mb) and used_places <= max(places, logged_places)
 
 
@@ -178,7 +180,7 @@
         else:
             engine_view.report_silent(engine_view.view_of(p, engine), now_ms, terms.dark_ms)
         return order_notes.drain(p)
-    again.on_answer(p, now_ms, id_, called, pending, terms)
+    engine_calls.on_answer(p, now_ms, id_, called, pending, terms)
     return _soon(p, now_ms, terms) + order_notes.drain(p)
 
 
@@ -242,7 +244,7 @@
     loads = registries.services(registry)[body["service"]]["loads"]
     if not loads["atOnce"] or not loads["perMinute"]:
         return [Reply(token, failures.NoRoom(int(30 * terms.call_ms), body["model"], "no-loads"))]
-    wait_ms = line.estimate(p, now_ms, body["service"], loads, item, terms)
+    wait_ms = load_queue.estimate(p, now_ms, body["service"], loads, item, terms)
     if wait_ms is not None and wait_ms > body["waitMs"]:
         return [Reply(token, failures.NoRoom(int(wait_ms), body["model"], "loads-queue"))]
     p.line.since_ms[id_] = now_ms
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -4,9 +4,9 @@
 
 from replication import shard_log
 
+from placement import attempt_outcomes
 from placement import demand as demands
 from placement import ledger as ledgers
-from placement import watching
 
 __all__ = ["LineState", "PendingCall", "Placer", "PlanState", "Terms", "log"]
 
@@ -81,7 +81,7 @@
     line: LineState = field(default_factory=LineState)
     calls: dict = field(default_factory=dict)
     report_count: int = 0
-    watch: watching.Watch = field(default_factory=watching.Watch)
+    watch: attempt_outcomes.Watch = field(default_factory=attempt_outcomes.Watch)
     notes: list = field(default_factory=list)
     summary_ms: float = float("-inf")
 
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -11,9 +11,9 @@
 """
 
 from placement import ledger as ledgers
-from placement import world
+from placement import registry_view
+from placement.attempt_outcomes import Outcomes, Suspicion
 from placement.state import log
-from placement.watching import Outcomes, Suspicion
 
 __all__ = ["due", "tell"]
 
@@ -36,8 +36,8 @@
 
 def due(placer, now_ms, registry, shards, terms):
     """Log who is suspect from now on, and who is tried again."""
-    for name in world.services_of(registry, placer.shard, shards):
-        engines = [engine["name"] for engine in world.engines_of(registry, name)]
+    for name in registry_view.services_of(registry, placer.shard, shards):
+        engines = [engine["name"] for engine in registry_view.engines_of(registry, name)]
         _clear(placer, now_ms, engines, terms)
         _suspect(placer, now_ms, engines, terms)
     _forget(placer, registry)
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from placement import making_room, world
+from placement import eviction, registry_view
 from placement.demand_view import claim
 
 __all__ = ["of"]
@@ -29,7 +29,7 @@
 
 
 def _held_up_by(view, model):
-    size = world.size_of(view.registry, model)
+    size = registry_view.size_of(view.registry, model)
     if size is None:
         return "unknown"
     reasons = Counter(_reason(view, model, size[0], name) for name in view.engines)
@@ -42,7 +42,7 @@
         return "engine kept for another"
     if name not in view.idle:
         return "engine busy"
-    pushed = making_room.pushed_out(view, name, model, size_mb)
+    pushed = eviction.pushed_out(view, name, model, size_mb)
     if pushed is None:
         return "nothing may give way"
     return "worth less" if pushed[0] > claim(view, model) else "store"
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -8,7 +8,7 @@
 import json
 from dataclasses import dataclass
 
-from placement import world
+from placement import registry_view
 from replication import follower as follows
 from routing import router, tasks
 from transport import failures
@@ -213,7 +213,7 @@
     """A router's wish for the placer of a service, under an id of its own."""
     shard = effect.shard
     if shard < 0:
-        shard = world.shard_of(effect.body["service"], node.config.shards)
+        shard = registry_view.shard_of(effect.body["service"], node.config.shards)
     body = {**effect.body, "node": node.card.name, "life": node.card.incarnation}
     bounds = node.config.bounds
     end_ms = now_ms + min(_LONGEST * bounds.serviceBackMs, bounds.acknowledgeMs)
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -3,7 +3,7 @@
 from configuration import registry as registries
 from membership import peer_table
 from placement import ledger as ledgers
-from placement import world
+from placement import registry_view
 from replication import depot as depots
 from replication import follower as follows
 from routing import tenants
@@ -63,14 +63,14 @@
     for engine in node.floor.registry.engines.values():
         if name not in ("", engine["name"], engine["service"]):
             continue
-        shard = world.shard_of(engine["service"], node.config.shards)
+        shard = registry_view.shard_of(engine["service"], node.config.shards)
         ledger = node.floor.ledgers.get(shard, ledgers.Ledger())
         found.append(
             {
                 **engine,
                 "shard": shard,
                 "incarnation": ledger.incarnations.get(engine["name"], ""),
-                "usable": world.usable(node.floor.registry, engine),
+                "usable": registry_view.usable(node.floor.registry, engine),
                 "items": {
                     i: {"verb": e["verb"], "state": e["state"]}
                     for i, e in sorted(ledger.engines.get(engine["name"], {}).items())
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from membership import greetings, peer_table
-from placement import floor as floors
+from placement import cluster_state
 from replication import depot as depots
 from replication import follower as follows
 from routing import engine_lives, refusal_notes, router
@@ -51,7 +51,7 @@
     config: configs.Config
     peers: peer_table.PeerTable
     follow: follows.Follow
-    floor: floors.Floor
+    floor: cluster_state.Floor
     owners: shard_ownership.ShardOwnership
     router: router.Router
     operator: operator_requests.OperatorRequests
@@ -90,7 +90,7 @@
             card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
         ),
         follows.Follow(),
-        floors.Floor(config.shards, config.zones, reader),
+        cluster_state.Floor(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing(config)),
         operator_requests.OperatorRequests(),
@@ -207,7 +207,7 @@
 
 
 def _news(node, now_ms, news):
-    if not floors.on_news(node.floor, node.follow.state, news):
+    if not cluster_state.on_news(node.floor, node.follow.state, news):
         return []
     return _wake(node, now_ms)
 
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -8,7 +8,7 @@
 import json
 
 from configuration import registry as registries
-from placement import world
+from placement import registry_view
 from replication import follower as follows
 from routing import engine_outcomes, router, routes, tenants
 from transport import failures
@@ -129,5 +129,5 @@
 
 def _for_shard(node, by, service):
     """What is told the holder of a service's shard."""
-    shard = world.shard_of(service, node.config.shards)
+    shard = registry_view.shard_of(service, node.config.shards)
     return by.setdefault(shard, {"items": {}, "outcomes": {}})
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -8,9 +8,8 @@
 from dataclasses import dataclass, field
 
 from configuration import registry as registries
+from placement import engine_list_polling, placer
 from placement import ledger as ledgers
-from placement import placer
-from placement import roster as rosters
 from placement.state import Placer
 from replication import shard_log, state_machine
 from transport import failures
@@ -43,7 +42,7 @@
     epoch: int
     held: shard_log.ShardLog
     registry: registries.Registry
-    roster: rosters.Roster = field(default_factory=rosters.Roster)
+    roster: engine_list_polling.Roster = field(default_factory=engine_list_polling.Roster)
 
 
 @dataclass
@@ -96,7 +95,7 @@
         shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
         if kept.shard == 0:
             if now_ms < end_ms and not held.lost:
-                effects += rosters.tick(
+                effects += engine_list_polling.tick(
                     kept.roster, now_ms, terms, ownership.provider, f"0|{kept.epoch}"
                 )
         else:
@@ -178,7 +177,7 @@
 
 def _listed(ownership, now_ms, kept, id_, called, terms):
     """A page of the platform's list came: what has changed is logged for all."""
-    effects, changed = rosters.on_called(
+    effects, changed = engine_list_polling.on_called(
         kept.roster,
         now_ms,
         id_,
--- a/libs/routing/src/routing/engine_lives.py
+++ b/libs/routing/src/routing/engine_lives.py
@@ -7,8 +7,7 @@
 """
 
 from configuration import registry as registries
-from placement import floor as floors
-from placement import world
+from placement import cluster_state, registry_view
 
 from routing import choice, cold
 
@@ -21,8 +20,8 @@
         return
     names = _touched(r, floor)
     r.noticed_changes = floor.changes
-    for engine in floors.servable(floor, names):
-        choice.notice(r, now_ms, engine["name"], floors.incarnation(floor, engine))
+    for engine in cluster_state.servable(floor, names):
+        choice.notice(r, now_ms, engine["name"], cluster_state.incarnation(floor, engine))
     if names is not None:
         return
     cold.notice(
@@ -30,7 +29,7 @@
         now_ms,
         floor.registry,
         registries.services(floor.registry),
-        lambda engine: world.usable(floor.registry, engine),
+        lambda engine: registry_view.usable(floor.registry, engine),
     )
 
 
--- a/libs/routing/src/routing/engine_outcomes.py
+++ b/libs/routing/src/routing/engine_outcomes.py
@@ -4,7 +4,7 @@
 that an engine that fails once in a hundred requests isn't taken for one that fails all.
 """
 
-from placement.watching import Outcomes
+from placement.attempt_outcomes import Outcomes
 
 __all__ = ["note", "take_untold"]
 
--- a/libs/routing/src/routing/final_answers.py
+++ b/libs/routing/src/routing/final_answers.py
@@ -1,6 +1,6 @@
 """Final answers of the router's own: what a task is told that gets no attempt any more."""
 
-from placement import world
+from placement import registry_view
 from placement.placement import item_name
 from transport import failures
 from transport.effects import Reply
@@ -40,7 +40,7 @@
     item = item_name(task.model, task.adapter)
     if task.told and not item:
         return None
-    if world.size_of(floor.registry, item):
+    if registry_view.size_of(floor.registry, item):
         return None
     if task.told:
         return failures.NoRoom(_UNLISTED_RETRY_MS, item, "unlisted")
--- a/libs/routing/src/routing/refusal_notes.py
+++ b/libs/routing/src/routing/refusal_notes.py
@@ -6,9 +6,8 @@
 """
 
 from configuration import registry as registries
-from placement import floor as floors
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
-from placement import world
 from placement.placement import item_name
 from transport.effects import Note
 
@@ -34,7 +33,7 @@
         router.refusals_unnoted += 1
         return
     item = item_name(task.model, task.adapter) if task.model else ""
-    engines = world.engines_of(floor.registry, task.service)
+    engines = registry_view.engines_of(floor.registry, task.service)
     told = [
         _engine(router, now_ms, floor, task, item, engine, crew)
         for engine in engines[:_MOST_ENGINES]
@@ -60,12 +59,12 @@
 def _engine(router, now_ms, floor, task, item, engine, crew):
     """What is known of one engine; of what is absent there is nothing to tell."""
     name = engine["name"]
-    ledger = floors.ledger_of(floor, world.shard_of(task.service, floor.shards))
+    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
     service = registries.services(floor.registry).get(task.service)
     entry = ledger.engines.get(name, {}).get(item)
     facts = {
         "engine": name,
-        "usable": world.usable(floor.registry, engine),
+        "usable": registry_view.usable(floor.registry, engine),
         "suspect": name in ledger.suspects,
         "has": not item or ledgers.loaded(ledger, name, item),
         "entry": f"{entry['verb']} {entry['state']}" if entry else None,
--- a/libs/routing/src/routing/resuming.py
+++ b/libs/routing/src/routing/resuming.py
@@ -1,6 +1,6 @@
 """Going on with a run whose pipe broke, at the engine that offered to."""
 
-from placement import floor as floors
+from placement import cluster_state
 from transport import failures
 from transport.effects import Reply
 
@@ -18,7 +18,7 @@
     engine = floor.registry.engines.get(task.legs[-1]) if task and task.legs else None
     if (
         engine is None
-        or floors.incarnation(floor, engine) != incarnation
+        or cluster_state.incarnation(floor, engine) != incarnation
         or (now_ms >= task.end_ms)
         or tenants.judge(floor.registry, task) is not None
         or not retry_budget.retry_allowed(r, now_ms, task.service, 0.0, crew)
--- a/libs/routing/src/routing/router.py
+++ b/libs/routing/src/routing/router.py
@@ -7,8 +7,7 @@
 """
 
 from configuration import registry as registries
-from placement import floor as floors
-from placement import world
+from placement import cluster_state, registry_view
 from placement.placement import item_name
 from transport import failures
 from transport.effects import Reply
@@ -89,7 +88,7 @@
         refusal_notes.refused(r, now_ms, floor, task, "engines-refused", crew)
         return fail(r, task, spent(task))
     item = item_name(task.model, task.adapter) if task.model else ""
-    found = floors.engines_with(floor, task.service, item)
+    found = cluster_state.engines_with(floor, task.service, item)
     found = [e for e in found if task.avoid.get(e["name"], 0.0) <= now_ms]
     service = registries.services(floor.registry).get(task.service)
     best = choice.choose(r, now_ms, found, crew, task, task.rank, service)
@@ -130,7 +129,8 @@
     if not waiting_line.is_open(r, task):
         return fail(r, task, failures.Overloaded(3000 * (1 + task.rank), "line-full"))
     if not any(
-        world.usable(floor.registry, e) for e in world.engines_of(floor.registry, task.service)
+        registry_view.usable(floor.registry, e)
+        for e in registry_view.engines_of(floor.registry, task.service)
     ):
         return fail(r, task, failures.NoRoom(3000, task.model, "no-engine"))
     return [waiting_line.hold(floor, task, now_ms)]
@@ -163,7 +163,7 @@
     engine, item = task.legs[-1], item_name(task.model, task.adapter) if task.model else ""
     others = [
         e
-        for e in floors.engines_with(floor, task.service, item)
+        for e in cluster_state.engines_with(floor, task.service, item)
         if e["name"] != engine
         and task.avoid.get(e["name"], 0.0) <= now_ms
         and r.busy.get(e["name"], 0)
--- a/libs/routing/src/routing/waiting_line.py
+++ b/libs/routing/src/routing/waiting_line.py
@@ -5,9 +5,8 @@
 an engine is loading already waits longer than one for whom nothing has begun.
 """
 
-from placement import floor as floors
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
-from placement import world
 from placement.placement import item_name
 
 from routing.tasks import Hold
@@ -75,7 +74,7 @@
         "class": task.cls,
         "waitMs": int(task.give_up_ms - now_ms),
     }
-    return Hold("hold", world.shard_of(task.service, floor.shards), body)
+    return Hold("hold", registry_view.shard_of(task.service, floor.shards), body)
 
 
 def in_order(r):
@@ -88,7 +87,7 @@
 
 def dropped(floor, task):
     """(why, when to come back) if the holder has taken a task out of the line."""
-    ledger = floors.ledger_of(floor, world.shard_of(task.service, floor.shards))
+    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
     if task.id in ledger.holds:
         task.lined = True
         return None
@@ -97,7 +96,7 @@
 
 def until_it_comes_ms(floor, task):
     """How long a task may wait for what an engine is loading already."""
-    ledger = floors.ledger_of(floor, world.shard_of(task.service, floor.shards))
+    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
     item = item_name(task.model, task.adapter)
     if not task.told or not ledgers.coming(ledger, {task.model, item}):
         return task.give_up_ms
--- a/libs/simulation/src/simulation/engine_orders/report.py
+++ b/libs/simulation/src/simulation/engine_orders/report.py
@@ -4,7 +4,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from placement import again, engine_reports, engine_view, placer
+from placement import engine_calls, engine_reports, engine_view, placer
 
 from simulation.engine_orders.settings import Settings
 from simulation.engine_orders.steps import Step, choices, take
@@ -83,7 +83,7 @@
     return view.report is not None
 
 
-_REAL_ANSWERED = again._answered
+_REAL_ANSWERED = engine_calls._answered
 _REAL_READ = engine_reports._read
 
 MUTANTS = (
@@ -95,7 +95,7 @@
     Mutant(
         "any success is taken for the unload's own",
         "strangers",
-        ((again, "_answered", _any_success_unloads),),
+        ((engine_calls, "_answered", _any_success_unloads),),
     ),
     Mutant(
         "a busy engine's report is believed",
--- a/libs/simulation/src/simulation/engine_orders/steps.py
+++ b/libs/simulation/src/simulation/engine_orders/steps.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, replace
 
-from placement import again, orders, placer, world
+from placement import engine_calls, orders, placer, registry_view
 from placement import ledger as ledgers
 from transport.effects import Call
 from transport.events import Called
@@ -63,8 +63,8 @@
     model = item.partition("/")[0]
     if item != model and not ledgers.loaded(state.placer.ledger, ENGINE, model):
         return False
-    used_mb, used_places = world.charged(state.registry, state.placer.ledger, ENGINE)
-    size_mb, places, _ = world.size_of(state.registry, item)
+    used_mb, used_places = registry_view.charged(state.registry, state.placer.ledger, ENGINE)
+    size_mb, places, _ = registry_view.size_of(state.registry, item)
     return (
         used_mb + size_mb <= state.settings.room_mb
         and used_places + places <= state.settings.places
@@ -135,7 +135,7 @@
 
 def _give(verb):
     def give(state, item):
-        size_mb, places, _ = world.size_of(state.registry, item)
+        size_mb, places, _ = registry_view.size_of(state.registry, item)
         if verb == "unload":
             entry = state.entries()[item]
             size_mb, places = entry["mb"], entry["places"]
@@ -167,7 +167,7 @@
     for call in effects:
         if not isinstance(call, Call):
             continue
-        size_mb, places, _ = world.size_of(state.registry, call.body["item"])
+        size_mb, places, _ = registry_view.size_of(state.registry, call.body["item"])
         state.flying.append(
             truth.Message(
                 call.id.split("|", 2)[2],
@@ -224,13 +224,16 @@
 
 
 def _again(state, _detail):
-    _fly(state, again.due(state.placer, state.now_ms, state.registry, SERVICE, TERMS, _LEASE_MS))
+    _fly(
+        state,
+        engine_calls.due(state.placer, state.now_ms, state.registry, SERVICE, TERMS, _LEASE_MS),
+    )
 
 
 def _ask(state, _detail):
     poll = placer.poll_of(state.placer, state.now_ms, ENGINE)
     facts = state.registry.engines[ENGINE]
-    again.call(state.placer, state.now_ms, poll.id, "report", facts, {}, TERMS, "", "")
+    engine_calls.call(state.placer, state.now_ms, poll.id, "report", facts, {}, TERMS, "", "")
     state.asked.append(Asked(poll.id))
 
 
--- a/libs/simulation/src/simulation/engine_orders/world.py
+++ b/libs/simulation/src/simulation/engine_orders/world.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass, field, fields, is_dataclass
 
-from placement import engine_view, state, world
+from placement import engine_view, registry_view, state
 from placement import ledger as ledgers
 from replication.shard_log import ShardLog
 
@@ -114,7 +114,9 @@
         expected = engine_view.expected_count(engine_view.view_of(self.placer, ENGINE))
         if expected not in (None, self.engine.count):
             return
-        charged_mb, charged_places = world.charged(self.registry, self.placer.ledger, ENGINE)
+        charged_mb, charged_places = registry_view.charged(
+            self.registry, self.placer.ledger, ENGINE
+        )
         held = dict(self._at_the_next_order())
         missing = sorted(held.keys() - self.entries().keys())
         if missing:
@@ -172,7 +174,9 @@
 def begun(settings):
     """A holder that knows nothing yet, and an engine that holds what it starts with."""
     registries = (registry_of(settings, False), registry_of(settings, True))
-    held = tuple((item, world.size_of(registries[0], item)[:2]) for item in sorted(settings.held))
+    held = tuple(
+        (item, registry_view.size_of(registries[0], item)[:2]) for item in sorted(settings.held)
+    )
     engine = truth.TrueEngine(settings.room_mb, settings.places, held, counts=settings.counts)
     holder = new_holder(1)
     holder.not_before_ms = 0.0
--- a/libs/simulation/src/simulation/hollow/settings.py
+++ b/libs/simulation/src/simulation/hollow/settings.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from configuration import documents
-from placement import world
+from placement import registry_view
 from pulleyhitch import config as configs
 from transport.rendezvous import weight
 
@@ -183,4 +183,4 @@
 
 
 def shard():
-    return world.shard_of(SERVICE, SHARDS)
+    return registry_view.shard_of(SERVICE, SHARDS)
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -117,9 +117,9 @@
 def _forgotten_demand():
     """Nobody remembers what is asked for, and nobody may wait for it."""
     demand.tell = lambda *asked: None
-    from placement import asked as by_demand
+    from placement import demand_planner
 
-    by_demand.tell = lambda *told: None
+    demand_planner.tell = lambda *told: None
     placer._hold = lambda p, now_ms, token, body, registry, terms: [
         Reply(token, failures.NoRoom(1000, body["model"], "forgotten"))
     ]
--- a/libs/simulation/src/simulation/mutant_scripts.py
+++ b/libs/simulation/src/simulation/mutant_scripts.py
@@ -1,6 +1,6 @@
 """Scripts of faults that several mutants share; `d` is a deployment."""
 
-from placement import world
+from placement import registry_view
 
 from simulation.sim import faults, harm
 
@@ -66,6 +66,6 @@
 
 
 def ordering(d):
-    return [step(1000, "freeze-ordering", str(world.shard_of(d.service, 8)), 7000)] + [
+    return [step(1000, "freeze-ordering", str(registry_view.shard_of(d.service, 8)), 7000)] + [
         step(1100, "engine-restart", f"e{i}", 200) for i in range(d.engines)
     ]
--- a/libs/simulation/src/simulation/mutants_of_placement.py
+++ b/libs/simulation/src/simulation/mutants_of_placement.py
@@ -1,6 +1,6 @@
 """Mutants of placement: engine states, room, the weight store and partners' shares."""
 
-from placement import engine_reports, ledger, orders, placement, world
+from placement import engine_reports, ledger, orders, placement, registry_view
 
 from simulation import breaking
 from simulation.mutant import Mutant
@@ -13,13 +13,13 @@
         "engine states not looked at",
         "leaving-engine",
         lambda d: [step(2000, "engine-leaving", f"e{i}", 9000) for i in range(3)],
-        lambda: [(world, "usable", lambda reg, e: e["zone"] not in reg.zones)],
+        lambda: [(registry_view, "usable", lambda reg, e: e["zone"] not in reg.zones)],
     ),
     Mutant(
         "zones not looked at",
         "evacuated-zone",
         lambda d: [step(2000, "evacuate", d.zones[0], 9000)],
-        lambda: [(world, "usable", lambda reg, e: e["state"] == "join")],
+        lambda: [(registry_view, "usable", lambda reg, e: e["state"] == "join")],
     ),
     Mutant(
         "loads not counted",
@@ -52,7 +52,7 @@
                     i: {"state": "loaded", "mb": 0, "places": 0, "sized": True} for i in items
                 },
             ),
-            (world, "charge_of", lambda reg, item, entry: (entry["mb"], entry["places"])),
+            (registry_view, "charge_of", lambda reg, item, entry: (entry["mb"], entry["places"])),
         ],
         seeds=(2, 8),
     ),
--- a/libs/simulation/src/simulation/mutants_of_requests.py
+++ b/libs/simulation/src/simulation/mutants_of_requests.py
@@ -1,6 +1,6 @@
 """Mutants of routing: requests, answers, retries, warming up and final answers."""
 
-from placement import line
+from placement import load_queue
 from routing import choice, pieces, retry_budget, router
 from transport import failures
 
@@ -69,7 +69,10 @@
         lambda d: (
             [step(1000, "engines-all", "", 500)] + [step(1600 + 300 * i, "burst") for i in range(4)]
         ),
-        lambda: [(line, "give_up", lambda *a: None), (line, "estimate", lambda *a: None)],
+        lambda: [
+            (load_queue, "give_up", lambda *a: None),
+            (load_queue, "estimate", lambda *a: None),
+        ],
         seeds=(2,),
         size="byggesag",
     ),
--- a/libs/simulation/src/simulation/placing.py
+++ b/libs/simulation/src/simulation/placing.py
@@ -5,7 +5,7 @@
 import itertools
 from dataclasses import dataclass, field
 
-from placement import placer, state, world
+from placement import placer, registry_view, state
 from replication.shard_log import ShardLog
 from transport.effects import Call, Reply
 from transport.events import Called
@@ -129,7 +129,7 @@
 
     def __init__(self, registry, service, engines, answers=None):
         self.registry, self.service, self.now_ms = registry, service, 10000.0
-        self.shard = world.shard_of(service, SHARDS)
+        self.shard = registry_view.shard_of(service, SHARDS)
         self.p = state.Placer(self.shard, 1, ShardLog(self.shard, 1, ready=True))
         self.p.not_before_ms = 0.0
         self.engines = {e.name: e for e in engines}
--- a/libs/simulation/src/simulation/sim/limits.py
+++ b/libs/simulation/src/simulation/sim/limits.py
@@ -8,7 +8,7 @@
 
 from configuration import registry as registries
 from placement import ledger as ledgers
-from placement import placement, world
+from placement import placement, registry_view
 from transport import failures
 
 __all__ = ["over_room", "flooded", "retries", "finals", "partners"]
@@ -147,7 +147,7 @@
     engines = {
         n: e
         for n, e in run.world.engines.items()
-        if n in reg.engines and world.usable(reg, reg.engines[n]) and not e.core.plain
+        if n in reg.engines and registry_view.usable(reg, reg.engines[n]) and not e.core.plain
     }
     here = {n: {i for i, s in e.core.items.items() if s == "loaded"} for n, e in engines.items()}
     totalMb = sum(e.core.roomMb for e in engines.values())
@@ -158,8 +158,8 @@
             if "/" not in item and item in models:
                 owner = models[item]["partner"]
                 usedMb[owner] = usedMb.get(owner, 0) + models[item]["roomMb"]
-    shares = world.shares_of(service)
-    for wish in world.wishes_of(reg, d.service, ledgers.Ledger()):
+    shares = registry_view.shares_of(service)
+    for wish in registry_view.wishes_of(reg, d.service, ledgers.Ledger()):
         item = placement.item_name(wish.model, wish.adapter)
         has = sum(item in items for items in here.values())
         told = run.final_unmet.get(wish.id)
--- a/libs/simulation/src/simulation/sim/operators.py
+++ b/libs/simulation/src/simulation/sim/operators.py
@@ -1,6 +1,6 @@
 """Operators and the platform of a simulated run, and its samples."""
 
-from placement import floor as floors
+from placement import cluster_state
 from replication import follower
 from transport import events as e
 from transport import failures
@@ -257,8 +257,8 @@
         leader = self.leader()
         if leader is None:
             return {}
-        floor_ = floors.Floor(8)
-        floors.on_news(
+        floor_ = cluster_state.Floor(8)
+        cluster_state.on_news(
             floor_,
             self.world.hosts[leader].node.depot.group.state,
             follower.News(rebuilt=True),
--- a/libs/simulation/src/simulation/sim/warm.py
+++ b/libs/simulation/src/simulation/sim/warm.py
@@ -3,7 +3,7 @@
 
 from configuration import registry as registries
 from placement import ledger as ledgers
-from placement import placement, world
+from placement import placement, registry_view
 
 from simulation import deployments
 
@@ -30,12 +30,12 @@
     ]
     made = placement.place(
         held,
-        world.wishes_of(registry, name, ledgers.Ledger()),
-        world.shares_of(registries.services(registry)[name]),
+        registry_view.wishes_of(registry, name, ledgers.Ledger()),
+        registry_view.shares_of(registries.services(registry)[name]),
         {},
     )
     for engine, targets in made.targets.items():
         core = run.world.engines[engine].core
         for item in targets:
-            mb, places, _ = world.size_of(registry, item)
+            mb, places, _ = registry_view.size_of(registry, item)
             core.items[item], core.sizes[item] = "loaded", (mb, places)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -5,9 +5,8 @@
 
 from configuration import passages as written
 from configuration import registry as registries
-from placement import floor as floors
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
-from placement import world
 from pulleyhitch import passages
 from replication import follower
 from routing import choice, router
@@ -70,7 +69,7 @@
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
             follow=follower.Follow(current_ms=NOW_MS - age_ms),
-            floor=floors.Floor(SHARDS, registry=registry),
+            floor=cluster_state.Floor(SHARDS, registry=registry),
             router=router.Router(TERMS),
             times=SimpleNamespace(elect_ms=300.0),
         )
@@ -90,7 +89,7 @@
 
     def load(self, loaded):
         """The engines have the model, or none has it."""
-        ledger = floors.ledger_of(self.node.floor, world.shard_of("s", SHARDS))
+        ledger = cluster_state.ledger_of(self.node.floor, registry_view.shard_of("s", SHARDS))
         for engine in self.node.floor.registry.engines:
             verb = "load" if loaded else "unload"
             record = ledgers.order_record(engine, MODEL, verb, f"o{engine}", 1.0, 0, "s")
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engines_noticed.py
@@ -7,9 +7,8 @@
 from configuration import registry as registries
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from placement import floor as floors
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
-from placement import world
 from replication import state_machine
 from replication.follower import News
 from routing import choice, router
@@ -45,11 +44,11 @@
 def found_record(name, service, life, items):
     held = {item: {"state": "loaded", "mb": 1, "places": 0} for item in items}
     record = ledgers.found_record(name, life, held, service)
-    return world.shard_of(service, SHARDS), record
+    return registry_view.shard_of(service, SHARDS), record
 
 
 def gone_record(name, service):
-    return world.shard_of(service, SHARDS), ledgers.dropped_record(name)
+    return registry_view.shard_of(service, SHARDS), ledgers.dropped_record(name)
 
 
 names, services = st.sampled_from(NAMES), st.sampled_from(SERVICES)
@@ -89,7 +88,7 @@
 
 
 def new_floor():
-    floor = floors.Floor(SHARDS, ("z",))
+    floor = cluster_state.Floor(SHARDS, ("z",))
     owner = {"wishes": {}, "routes": {}, "models": {}}
     of_services = {"plain": {}, "models": {"warmPerS": 5.0, "warmMs": 400.0}}
     floor.registry = registries.Registry(sections={"p": {**owner, "services": of_services}})
@@ -109,7 +108,7 @@
         now_ms = 250.0 * number
         if kind == "news":
             sections = tuple(_Section(shard, record) for shard, record in told)
-            floors.on_news(floor, None, News(sections))
+            cluster_state.on_news(floor, None, News(sections))
         elif kind == "broke":
             choice.broke(sparing, now_ms, told)
             choice.broke(looking, now_ms, told)
@@ -126,9 +125,9 @@
     floor, crew = new_floor(), Crew("c", ("c",))
     sparing, looking = router.Router(TERMS), router.Router(TERMS)
     announced = tuple(_Section(*engine_record(name, "join", "models", 0)) for name in NAMES)
-    floors.on_news(floor, None, News(announced))
+    cluster_state.on_news(floor, None, News(announced))
     for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *taken]):
-        floors.on_news(floor, None, News((_Section(*told),)))
+        cluster_state.on_news(floor, None, News((_Section(*told),)))
         if looks:
             looking.noticed_changes = -1
             router.wake(sparing, 250.0 * number, floor, 0.0, crew)
--- a/tests/test_engines_with.py
+++ b/tests/test_engines_with.py
@@ -3,9 +3,8 @@
 from configuration import registry as registries
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from placement import floor as floors
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
-from placement import world
 
 SHARDS = 4
 SERVICES = ("plain", "models")
@@ -30,10 +29,10 @@
 
 
 def floor_of(fleet, evacuated):
-    floor = floors.Floor(SHARDS, ZONES)
+    floor = cluster_state.Floor(SHARDS, ZONES)
     floor.registry = registries.Registry(zones={zone: 1 for zone in evacuated})
     for name, told in fleet.items():
-        ledger = floors.ledger_of(floor, world.shard_of(told["service"], SHARDS))
+        ledger = cluster_state.ledger_of(floor, registry_view.shard_of(told["service"], SHARDS))
         floor.registry.engines[name] = {"name": name, **told}
         ledger.engines[name] = told["items"]
         if told["suspect"]:
@@ -43,10 +42,10 @@
 
 def plainly(floor, service, item):
     """What `engines_with` is to find, one engine after the other."""
-    ledger, found = floors.ledger_of(floor, world.shard_of(service, SHARDS)), []
+    ledger, found = cluster_state.ledger_of(floor, registry_view.shard_of(service, SHARDS)), []
     for name in sorted(floor.registry.engines):
         engine = floor.registry.engines[name]
-        if engine["service"] != service or not world.usable(floor.registry, engine):
+        if engine["service"] != service or not registry_view.usable(floor.registry, engine):
             continue
         if not item or ledgers.loaded(ledger, name, item):
             found.append(engine)
@@ -59,12 +58,12 @@
 def test_the_engines_found_are_those_of_the_plain_search(fleet, evacuated, service):
     floor = floor_of(fleet, evacuated)
     for item in ("", *ITEMS):
-        assert floors.engines_with(floor, service, item) == plainly(floor, service, item)
+        assert cluster_state.engines_with(floor, service, item) == plainly(floor, service, item)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(fleets, st.sampled_from(SERVICES))
 def test_a_services_engines_come_in_the_order_of_their_names(fleet, service):
-    found = world.engines_of(floor_of(fleet, ()).registry, service)
+    found = registry_view.engines_of(floor_of(fleet, ()).registry, service)
     names = sorted(name for name, engine in fleet.items() if engine["service"] == service)
     assert [engine["name"] for engine in found] == names
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -3,7 +3,7 @@
 import json
 
 from configuration import registry
-from placement import engine_view, ledger, orders, state, world
+from placement import engine_view, ledger, orders, registry_view, state
 from placement.engine_view import Report
 from replication import shard_log
 from testtools import TestCase
@@ -118,7 +118,7 @@
         self.hold("e1", ["a", "b"])
         self.assertThat(self.ordered(), Equals(set()))
         self.decide("zone", {"zone": "y", "evacuated": True})
-        self.assertFalse(world.usable(self.reg, self.reg.engines["e1"]))
+        self.assertFalse(registry_view.usable(self.reg, self.reg.engines["e1"]))
         self.assertThat(self.ordered(), Equals({("load", "e0", "a"), ("load", "e0", "b")}))
         self.loaded("e0", "a")
         self.loaded("e0", "b")
--- a/tests/test_never.py
+++ b/tests/test_never.py
@@ -1,7 +1,7 @@
 """Each never-item caused: a script that the code passes, and the same script
 on a deliberately broken variant, where the checker must see the failure."""
 
-from placement import world
+from placement import registry_view
 from pulleyhitch import shard_ownership
 from simulation import deployments, mutants
 from simulation.sim import checkers, faults, run
@@ -39,7 +39,7 @@
         """A holder that never doubts its grant freezes: the late order is sent, and
         the engine's fence is what stops it."""
         self.patch(shard_ownership, "lease_end", lambda f, t: float("inf"))
-        shard, fenced = str(world.shard_of("guidance", 8)), 0
+        shard, fenced = str(registry_view.shard_of("guidance", 8)), 0
         for seed in SEEDS:
             found = run.simulate(
                 seed,
--- a/tests/test_order_proofs.py
+++ b/tests/test_order_proofs.py
@@ -7,7 +7,7 @@
 import random
 
 import test_platform_again
-from placement import engine_view, world
+from placement import engine_view, registry_view
 from simulation.placing import TERMS, Late, Stale
 from test_platform_asked import Floor
 from testtools import TestCase
@@ -131,7 +131,7 @@
     def usable(self):
         return [
             e.name
-            for e in world.placement_engines(
+            for e in registry_view.placement_engines(
                 self.registry, self.service, engine_view.reports_of(self.p)
             )
         ]
--- a/tests/test_platform_again.py
+++ b/tests/test_platform_again.py
@@ -4,7 +4,7 @@
 
 from adapter import configuration
 from configuration import registry as registries
-from placement import again, engine_reports, ledger, orders, placer, state, world
+from placement import engine_calls, engine_reports, ledger, orders, placer, registry_view, state
 from replication.shard_log import ShardLog
 from simulation import platform_made as made
 from simulation.placing import SHARDS, TERMS, engine_facts
@@ -31,7 +31,7 @@
         registries.apply(self.registry, record)
         self.registry.engines["e0"] = self.facts = engine_facts("e0", self.service)
         self.model = whole["services"][0]["engine"]["parcels"][0]["name"]
-        self.size_mb = world.size_of(self.registry, self.model)[0]
+        self.size_mb = registry_view.size_of(self.registry, self.model)[0]
         self.p = state.Placer(1, 1, ShardLog(1, 1, ready=True))
         self.p.not_before_ms, self.now_ms, self.calls = 0.0, 1000.0, []
         self.report(["other"], at=900.0)
@@ -85,7 +85,7 @@
     def due(self):
         """The calls that are due; the placer is woken when the next one is, and only
         if there is one to come."""
-        found = again.due(self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS)
+        found = engine_calls.due(self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS)
         calls = [e for e in found if isinstance(e, Call)]
         wakes = [e.at_ms for e in found if isinstance(e, Wake)]
         self.assertThat(len(calls) + len(wakes), Equals(len(found)))
@@ -204,7 +204,7 @@
         self.answer(self.give(), 202)
         self.now_ms += 5000
         self.assertThat(
-            again.due(
+            engine_calls.due(
                 self.p,
                 self.now_ms,
                 self.registry,
--- a/tests/test_platform_asked.py
+++ b/tests/test_platform_asked.py
@@ -4,7 +4,7 @@
 
 from adapter import configuration
 from configuration import registry as registries
-from placement import ledger, world
+from placement import ledger, registry_view
 from simulation import platform_made as made
 from simulation.placing import PlainEngine, Scene, engine_facts
 from testtools import TestCase
@@ -48,7 +48,7 @@
             ]
             self.items += names
             for item in names:
-                self.sizes[item] = world.size_of(self.registry, item)[:2]
+                self.sizes[item] = registry_view.size_of(self.registry, item)[:2]
         plain = []
         for n in range(engines):
             name = f"e{n}"
@@ -63,7 +63,7 @@
         return any(
             ledger.loaded(self.scene.p.ledger, e, item)
             for e in self.scene.engines
-            if world.usable(self.registry, self.registry.engines[e])
+            if registry_view.usable(self.registry, self.registry.engines[e])
         )
 
     def ask(self, item):
@@ -206,7 +206,7 @@
                 shut = {
                     n
                     for n, e in floor.registry.engines.items()
-                    if not world.usable(floor.registry, e)
+                    if not registry_view.usable(floor.registry, e)
                 }
                 wrong += [
                     (ms, c.verb, c.engine)
--- a/tests/test_platform_line.py
+++ b/tests/test_platform_line.py
@@ -4,7 +4,7 @@
 
 from adapter import configuration
 from configuration import registry as registries
-from placement import floor, world
+from placement import cluster_state, registry_view
 from placement import ledger as ledgers
 from routing import choice, router
 from routing.tasks import Hold
@@ -34,7 +34,7 @@
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = floor.Floor(SHARDS, reader=configuration.READER)
+        self.floor = cluster_state.Floor(SHARDS, reader=configuration.READER)
         self.floor.registry.reader = configuration.READER
         record, _, _ = registries.decide(
             self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
@@ -66,7 +66,7 @@
             self.assertIsInstance(effect, Hold, f"{rank} {effect}")
             self.assertThat(
                 (effect.verb, effect.shard, effect.body["model"]),
-                Equals(("hold", world.shard_of(self.service, SHARDS), self.model)),
+                Equals(("hold", registry_view.shard_of(self.service, SHARDS), self.model)),
             )
 
     def test_the_lowest_is_shut_out_first(self):
@@ -86,7 +86,7 @@
 
     def load(self, item, state="taken"):
         """An engine is loading something, or has it."""
-        ledger = floor.ledger_of(self.floor, world.shard_of(self.service, SHARDS))
+        ledger = cluster_state.ledger_of(self.floor, registry_view.shard_of(self.service, SHARDS))
         ledgers.apply(ledger, ledgers.order_record("e0", item, "load", "o1", 1.0, 0, self.service))
         ledgers.apply(ledger, ledgers.state_record("e0", item, "o1", state))
 
@@ -106,7 +106,9 @@
         task = self.waiting_task()
         task.told, task.give_up_ms = True, 2000.0
         self.load(self.model)
-        floor.ledger_of(self.floor, world.shard_of(self.service, SHARDS)).suspects["e0"] = True
+        cluster_state.ledger_of(self.floor, registry_view.shard_of(self.service, SHARDS)).suspects[
+            "e0"
+        ] = True
         self.assertThat(bool(router.tick(self.router, 2100.0, self.floor)), Equals(True))
 
     def test_nobody_is_held_until_it_leaves(self):
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -6,7 +6,7 @@
 
 from adapter import callers, configuration, engines
 from configuration import registry as registries
-from placement import engine_reports, roster
+from placement import engine_list_polling, engine_reports
 from placement import state as dispatching
 from replication.shard_log import ShardLog
 from routing.passing import Head
@@ -103,9 +103,9 @@
             data = torn(rng, data) if rng.random() < 0.3 else data
             found = engines.read_call("list", {"token": ""}, 200, data)
             self.assertIsInstance(found, dict)
-            r, registry = roster.Roster(), registries.Registry()
-            roster.tick(r, 1000.0, terms, "http://p", "0|1")
-            effects, changed = roster.on_called(
+            r, registry = engine_list_polling.Roster(), registries.Registry()
+            engine_list_polling.tick(r, 1000.0, terms, "http://p", "0|1")
+            effects, changed = engine_list_polling.on_called(
                 r, 1001.0, "list:1", Called("", 200, found), registry, terms, "http://p", "0|1"
             )
             for effect in effects:
--- a/tests/test_platform_roster.py
+++ b/tests/test_platform_roster.py
@@ -3,7 +3,7 @@
 import random
 
 from configuration import registry as registries
-from placement import roster
+from placement import engine_list_polling
 from placement.state import Terms
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -29,13 +29,13 @@
     """A list in pages, its reader, and the registry that its news is logged in."""
 
     def __init__(self):
-        self.roster, self.registry = roster.Roster(), registries.Registry()
+        self.roster, self.registry = engine_list_polling.Roster(), registries.Registry()
         self.engines, self.now_ms, self.pages = [], 1000.0, 1
 
     def round(self, fails=None):
         """One reading of the whole list; page `fails` answers 429.  What is logged."""
         self.now_ms += 300
-        effects = roster.tick(self.roster, self.now_ms, TERMS, "http://p", "0|1")
+        effects = engine_list_polling.tick(self.roster, self.now_ms, TERMS, "http://p", "0|1")
         size, page, changed = -(-len(self.engines) // self.pages) or 1, 0, []
         while effects:
             (call,) = effects
@@ -48,7 +48,7 @@
             )
             if page == fails:
                 told = Called(call.id, 429, {})
-            effects, changed = roster.on_called(
+            effects, changed = engine_list_polling.on_called(
                 self.roster,
                 self.now_ms,
                 call.id.split("|", 2)[2],
@@ -98,26 +98,29 @@
         self.assertThat(self.names()[0], Equals("e1"))
 
     def test_an_answer_of_an_earlier_round_says_nothing(self):
-        r, registry = roster.Roster(), registries.Registry()
-        (first,) = roster.tick(r, 1000.0, TERMS, "http://p", "0|1")
-        roster.tick(r, 1300.0, TERMS, "http://p", "0|1")
+        r, registry = engine_list_polling.Roster(), registries.Registry()
+        (first,) = engine_list_polling.tick(r, 1000.0, TERMS, "http://p", "0|1")
+        engine_list_polling.tick(r, 1300.0, TERMS, "http://p", "0|1")
         told = Called(first.id, 200, {"engines": [entry("e0")], "next": None})
         self.assertThat(
-            roster.on_called(
+            engine_list_polling.on_called(
                 r, 1310.0, first.id.split("|", 2)[2], told, registry, TERMS, "http://p", "0|1"
             ),
             Equals(([], [])),
         )
 
     def test_not_sooner_than_it_may(self):
-        r = roster.Roster()
+        r = engine_list_polling.Roster()
         times = [
             ms
             for ms in range(1000, 5000, 10)
-            if roster.tick(r, float(ms), TERMS, "http://p", "0|1")
+            if engine_list_polling.tick(r, float(ms), TERMS, "http://p", "0|1")
         ]
         self.assertThat({b - a for a, b in zip(times, times[1:])}, Equals({200}))
-        self.assertThat(roster.tick(roster.Roster(), 1000.0, TERMS, "", "0|1"), Equals([]))
+        self.assertThat(
+            engine_list_polling.tick(engine_list_polling.Roster(), 1000.0, TERMS, "", "0|1"),
+            Equals([]),
+        )
 
     def test_a_change_of_state_is_news_once(self):
         self.list.round()
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent.py
@@ -3,7 +3,7 @@
 
 from configuration import passages
 from configuration.registry import Registry
-from placement import floor
+from placement import cluster_state
 from routing import choice, router
 from routing.tasks import Leg, Stay
 from simulation.placing import SHARDS, engine_facts
@@ -17,7 +17,7 @@
     def setUp(self):
         super().setUp()
         section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
-        self.floor = floor.Floor(
+        self.floor = cluster_state.Floor(
             SHARDS,
             registry=Registry(
                 sections={"floor": section},
--- a/tests/test_refusal_notes.py
+++ b/tests/test_refusal_notes.py
@@ -4,7 +4,7 @@
 
 from adapter import configuration
 from configuration import registry as registries
-from placement import floor, ledger, world
+from placement import cluster_state, ledger, registry_view
 from routing import choice, refusal_notes, router
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
@@ -33,7 +33,7 @@
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = floor.Floor(SHARDS, reader=configuration.READER)
+        self.floor = cluster_state.Floor(SHARDS, reader=configuration.READER)
         self.floor.registry.reader = configuration.READER
         record, _, _ = registries.decide(
             self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
@@ -41,7 +41,9 @@
         registries.apply(self.floor.registry, record)
         for name in ("e0", "e1"):
             self.floor.registry.engines[name] = engine_facts(name, self.service)
-        self.ledger = floor.ledger_of(self.floor, world.shard_of(self.service, SHARDS))
+        self.ledger = cluster_state.ledger_of(
+            self.floor, registry_view.shard_of(self.service, SHARDS)
+        )
         self.holds("e0")
         self.router, self.now_ms, self.count = router.Router(TERMS), 1000.0, 0
 
--- a/tests/test_room_changes.py
+++ b/tests/test_room_changes.py
@@ -4,7 +4,7 @@
 
 import test_platform_again
 from configuration import registry as registries
-from placement import orders, world
+from placement import orders, registry_view
 from simulation import platform_made
 from testtools.matchers import Equals
 
@@ -32,10 +32,10 @@
         self.whole = made[0]
 
     def charge(self):
-        return world.charged(self.registry, self.p.ledger, "e0")[0]
+        return registry_view.charged(self.registry, self.p.ledger, "e0")[0]
 
     def test_a_model_that_grows_or_shrinks_while_it_is_up(self):
-        ordered_mb = world.size_of(self.registry, self.model)[0]
+        ordered_mb = registry_view.size_of(self.registry, self.model)[0]
         before_mb = self.charge()
         orders.give(self.p, "e0", self.model, "load", ordered_mb, 0, self.service)
         self.assertThat(self.charge(), Equals(before_mb + ordered_mb))
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -4,7 +4,7 @@
 
 from configuration import passages as written
 from configuration.registry import Registry
-from placement import floor as floors
+from placement import cluster_state
 from pulleyhitch import passages
 from replication import follower
 from routing import router
@@ -25,7 +25,7 @@
         closing=False,
         config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=10 * STALE_MS)),
         follow=follower.Follow(current_ms=NOW_MS - age_ms),
-        floor=floors.Floor(4, registry=registry),
+        floor=cluster_state.Floor(4, registry=registry),
         router=router.Router(terms),
         times=SimpleNamespace(elect_ms=300.0),
     )
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -4,9 +4,9 @@
 import socket
 
 from placement import ledger as ledgers
-from placement import suspects, world
-from placement.floor import Floor as RoutingFloor
-from placement.floor import engines_with
+from placement import registry_view, suspects
+from placement.cluster_state import Floor as RoutingFloor
+from placement.cluster_state import engines_with
 from placement.state import log
 from routing import choice, engine_outcomes, router
 from routing.legs import Ended
@@ -116,7 +116,7 @@
             engine.items = set(models)
         for _ in range(40):
             floor.step()
-        shard = world.shard_of(floor.name, SHARDS)
+        shard = registry_view.shard_of(floor.name, SHARDS)
         routes = RoutingFloor(SHARDS, registry=floor.registry)
         routes.ledgers[shard] = scene.p.ledger
         routers, found = router.Router(ROUTING), {n: [0, 0] for n in range(SUBJECTS)}
@@ -174,7 +174,7 @@
             outcomes_of(floor, {"e0": (0, 9, 0)})
             floor.step()
             routes = RoutingFloor(SHARDS, registry=floor.registry)
-            routes.ledgers[world.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
+            routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
             self.assertThat(engines_with(routes, floor.name, only), Equals([]))
             floor.scene.command(
                 "hold",
@@ -198,7 +198,7 @@
     def test_a_plain_service_is_never_left_without_engines(self):
         floor = Floor(2)
         routes = RoutingFloor(SHARDS, registry=floor.registry)
-        ledger = routes.ledgers[world.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
+        ledger = routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
         for name in floor.scene.engines:
             ledger.suspects[name] = True
         self.assertThat(len(engines_with(routes, floor.name, "")), Equals(4))
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -11,7 +11,7 @@
 from adapter.dialect import DIALECT
 from configuration import passages
 from configuration.registry import Registry
-from placement import floor
+from placement import cluster_state
 from process_harness import lone_counter
 from pulleyhitch import config, server
 from routing import answers, choice, passing, router
@@ -197,7 +197,7 @@
     def setUp(self):
         super().setUp()
         section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
-        self.floor = floor.Floor(
+        self.floor = cluster_state.Floor(
             SHARDS,
             registry=Registry(
                 sections={"floor": section},
--- a/tests/test_unnamed_model.py
+++ b/tests/test_unnamed_model.py
@@ -5,7 +5,7 @@
 
 from adapter import callers, configuration
 from configuration import registry as registries
-from placement import floor
+from placement import cluster_state
 from routing import choice, router
 from routing.tasks import Leg
 from simulation import platform_made as made
@@ -31,7 +31,7 @@
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = floor.Floor(SHARDS, reader=configuration.READER)
+        self.floor = cluster_state.Floor(SHARDS, reader=configuration.READER)
         self.floor.registry.reader = configuration.READER
         record, _, _ = registries.decide(
             self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
