--- a/libs/placement/src/placement/attempt_outcomes.py
+++ b/libs/placement/src/placement/attempt_outcomes.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-__all__ = ["Outcomes", "Suspicion", "Watch"]
+__all__ = ["Outcomes", "Suspicion", "OutcomeHistory"]
 
 
 @dataclass
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Watch:
+class OutcomeHistory:
     """What a holder remembers of engines' outcomes, and of how often each was suspect."""
 
     outcomes: dict = field(default_factory=dict)
--- a/libs/placement/src/placement/cluster_state.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -12,11 +12,19 @@
 from placement import ledger as ledgers
 from placement import registry_view
 
-__all__ = ["Floor", "LedgerNews", "on_news", "ledger_of", "engines_with", "incarnation", "servable"]
+__all__ = [
+    "ClusterState",
+    "LedgerChange",
+    "apply_update",
+    "ledger_of",
+    "engines_with",
+    "incarnation",
+    "serving_engines",
+]
 
 
 @dataclass(frozen=True)
-class LedgerNews:
+class LedgerChange:
     """News of ledgers only: its number among the floor's `changes`, and the engines that
     its records are about.  All else on the floor is as it was before."""
 
@@ -25,7 +33,7 @@
 
 
 @dataclass
-class Floor:
+class ClusterState:
     """`changes` counts the news that changed anything here.  `ledger_news` is the latest,
     or None if it was not of ledgers only."""
 
@@ -35,10 +43,10 @@
     registry: registries.Registry = field(default_factory=registries.Registry)
     ledgers: dict = field(default_factory=dict)
     changes: int = 0
-    ledger_news: LedgerNews | None = None
+    ledger_news: LedgerChange | None = None
 
 
-def on_news(floor, book, news):
+def apply_update(floor, book, news):
     """Apply a follower's news; True if anything that routing looks at changed."""
     floor.changes += news.rebuilt or bool(news.sections)
     floor.ledger_news = None
@@ -54,7 +62,7 @@
         for record in section.records if section.shard else ():
             engines.add(ledgers.apply(ledger_of(floor, section.shard), record))
     if not changes:
-        floor.ledger_news = LedgerNews(floor.changes, frozenset(engines - {None}))
+        floor.ledger_news = LedgerChange(floor.changes, frozenset(engines - {None}))
     registries.replay(floor.registry, changes)
     return bool(news.sections)
 
@@ -87,7 +95,7 @@
     named = [name for name, e in engines.items() if e["service"] == service]
     if item:
         held = ledger.engines
-        named = [n for n in named if item in held.get(n, ()) and ledgers.loaded(ledger, n, item)]
+        named = [n for n in named if item in held.get(n, ()) and ledgers.is_loaded(ledger, n, item)]
     found = [
         engines[name]
         for name in sorted(named)
@@ -97,7 +105,7 @@
     return sound if sound or item else found
 
 
-def servable(floor, names=None):
+def serving_engines(floor, names=None):
     """Engines that could serve something by now: plain ones that were reported,
     others with something loaded.  Of those named, or of all."""
     engines, found = floor.registry.engines, []
--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -8,7 +8,16 @@
 import math
 from dataclasses import dataclass, field
 
-__all__ = ["Demand", "FADE_MS", "learn_run", "owe", "owed", "pay", "rate", "tell"]
+__all__ = [
+    "Demand",
+    "FADE_MS",
+    "learn_request_time",
+    "record_unserved",
+    "unserved",
+    "clear_unserved",
+    "request_rate",
+    "record_requests",
+]
 
 FADE_MS = 8000.0
 # What is owed fades so slowly that callers who come every some seconds add up.
@@ -21,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Owed:
+class UnservedDemand:
     """How many `callers` of a service had to wait for an item, as it stood at `at_ms`."""
 
     service: str
@@ -35,7 +44,7 @@
     making: item -> (engine, since); run_s: how long a request has a slot, as observed."""
 
     rates: dict = field(default_factory=dict)
-    owed: dict = field(default_factory=dict)
+    unserved: dict = field(default_factory=dict)
     making: dict = field(default_factory=dict)
     up_ms: dict = field(default_factory=dict)
     pauseMs: dict = field(default_factory=dict)
@@ -45,18 +54,18 @@
     run_at_ms: float | None = None
 
 
-def tell(d, now_ms, item, count):
+def record_requests(d, now_ms, item, count):
     """An item was asked for `count` times since it was last told of."""
-    d.rates[item] = (rate(d, now_ms, item) + count * 1000 / FADE_MS, now_ms)
+    d.rates[item] = (request_rate(d, now_ms, item) + count * 1000 / FADE_MS, now_ms)
 
 
-def rate(d, now_ms, item):
+def request_rate(d, now_ms, item):
     """How often a second an item has been asked for lately."""
     old, at_ms = d.rates.get(item, (0.0, now_ms))
     return old * math.exp(-max(0.0, now_ms - at_ms) / FADE_MS)
 
 
-def learn_run(d, now_ms, running, asked):
+def learn_request_time(d, now_ms, running, asked):
     """`running` requests are at the engines while `asked` come a second: by Little's law each
     is there for their ratio.  Single values are chance, so they are averaged over a while."""
     if asked < _FEW_ASKED:
@@ -67,12 +76,12 @@
     d.run_s, d.run_at_ms = d.run_s + share * (seen_s - d.run_s), now_ms
 
 
-def owe(d, now_ms, service, item):
+def record_unserved(d, now_ms, service, item):
     """One more caller has to wait for an item, or is sent away."""
-    d.owed[item] = Owed(service, owed(d, now_ms, item) + 1, now_ms)
+    d.owed[item] = UnservedDemand(service, unserved(d, now_ms, item) + 1, now_ms)
 
 
-def owed(d, now_ms, item):
+def unserved(d, now_ms, item):
     """How many callers have had to wait for an item since it last served one."""
     known = d.owed.get(item)
     if known is None:
@@ -80,6 +89,6 @@
     return known.callers * math.exp(-max(0.0, now_ms - known.at_ms) / _OWED_FADE_MS)
 
 
-def pay(d, item):
+def clear_unserved(d, item):
     """A caller found the item up."""
     d.owed.pop(item, None)
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -19,8 +19,8 @@
     registry_view,
     waiting_summary,
 )
-from placement.demand import FADE_MS, learn_run, tell
-from placement.demand_view import View
+from placement.demand import FADE_MS, learn_request_time, record_requests
+from placement.demand_view import DemandView
 
 __all__ = ["plan"]
 
@@ -50,23 +50,23 @@
         _forget(view)
         _bring_all(view)
     if view.waiting:
-        order_notes.summary(p, now_ms, name, lambda: waiting_summary.of(view))
+        order_notes.log_summary(p, now_ms, name, lambda: waiting_summary.summarize(view))
 
 
 def _view(p, now_ms, registry, name, service, engines, idle):
     copies = demand_view.copies_of(p, engines)
-    waiting = demand_view.waiting_of(p, now_ms, name)
-    view = View(p, now_ms, registry, name, service, engines, copies, waiting, idle=idle)
-    view.wished = demand_view.wished_of(view)
+    waiting = demand_view.waiting_requests(p, now_ms, name)
+    view = DemandView(p, now_ms, registry, name, service, engines, copies, waiting, idle=idle)
+    view.wished = demand_view.wanted_items(view)
     if not p.demand.seeded:
         _seed(view)
-    view.rates = demand_view.rates_of(p.demand, now_ms)
+    view.rates = demand_view.request_rates(p.demand, now_ms)
     view.adapters = demand_view.adapter_rates(view.rates)
     view.hosts = demand_view.hosts_of(p, engines)
     running = [p.engines[name].report.running for name in engines]
     if None not in running:
         asked = sum(rate for item, rate in view.rates.items() if "/" not in item)
-        learn_run(p.demand, now_ms, sum(running), asked)
+        learn_request_time(p.demand, now_ms, sum(running), asked)
     return view
 
 
@@ -76,9 +76,9 @@
     missing = [
         item
         for item in view.wished
-        if not view.copies.get(item) and registry_view.size_of(view.registry, item) is not None
+        if not view.copies.get(item) and registry_view.item_size(view.registry, item) is not None
     ]
-    claims = {item: demand_view.claim(view, item) for item in missing}
+    claims = {item: demand_view.priority(view, item) for item in missing}
     by_claim = sorted(claims, key=lambda i: (-claims[i], i))
     _bring_each(view, [i for i in by_claim if "/" in i], claims)
     _more_copies(view, eviction.needed_copies, 1.0)
@@ -98,7 +98,7 @@
     view.placer.demand.seeded = True
     for model, copies in view.copies.items():
         if "/" not in model:
-            tell(view.placer.demand, view.now_ms, model, _SEED * (0.1 + copies - 1))
+            record_requests(view.placer.demand, view.now_ms, model, _SEED * (0.1 + copies - 1))
 
 
 def _forget(view):
@@ -136,7 +136,7 @@
 
 def _bring_adapter(view, item, model):
     hosts = [n for n in view.hosts.get(model, ()) if n in view.idle]
-    size = registry_view.size_of(view.registry, item)
+    size = registry_view.item_size(view.registry, item)
 
     def pushed(name):
         items = view.placer.ledger.engines[name]
@@ -171,7 +171,7 @@
 
 def _bring_model(view, model, beside, most):
     """Choose the engine where a model costs least, and take the next step there."""
-    size_mb = registry_view.size_of(view.registry, model)[0]
+    size_mb = registry_view.item_size(view.registry, model)[0]
     kept = view.placer.demand.making.get(model)
     names = [kept[0]] if kept else [n for n in sorted(view.idle) if n not in beside]
     taken = {m[0] for i, m in view.placer.demand.making.items() if i != model}
@@ -183,7 +183,7 @@
             or model in view.placer.ledger.engines.get(name, {})
         ):
             continue
-        pushed = eviction.pushed_out(view, name, model, size_mb)
+        pushed = eviction.eviction_for(view, name, model, size_mb)
         if pushed is None or pushed[0] > most:
             continue
         known = model in view.placer.demand.before.get(name, ())
@@ -209,7 +209,9 @@
     if out:
         view.idle.discard(name)
         entry = items[out[0]]
-        orders.give(view.placer, name, out[0], "unload", entry["mb"], entry["places"], view.name)
+        orders.give_order(
+            view.placer, name, out[0], "unload", entry["mb"], entry["places"], view.name
+        )
         view.copies[out[0]] = view.copies.get(out[0], 1) - 1
         return
     known = item in view.placer.demand.before.get(name, ())
@@ -220,8 +222,8 @@
     ):
         return
     view.idle.discard(name)
-    size = registry_view.size_of(view.registry, item)
-    orders.give(view.placer, name, item, "load", size[0], size[1], view.name)
+    size = registry_view.item_size(view.registry, item)
+    orders.give_order(view.placer, name, item, "load", size[0], size[1], view.name)
     view.copies[item] = view.copies.get(item, 0) + 1
     view.placer.demand.making.pop(item, None)
 
--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -6,18 +6,18 @@
 
 from placement import engine_view
 from placement import ledger as ledgers
-from placement.demand import owed, rate
+from placement.demand import request_rate, unserved
 from placement.placement import item_name
 
 __all__ = [
-    "View",
+    "DemandView",
     "adapter_rates",
-    "claim",
+    "priority",
     "copies_of",
     "hosts_of",
     "is_idle",
-    "rates_of",
-    "waiting_of",
+    "request_rates",
+    "waiting_requests",
 ]
 
 # A claim's least, and what each caller adds for a second that it has waited.
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class View:
+class DemandView:
     """`engines`: name -> Engine; `copies`: item -> how many hold or load it; `waiting`: item
     -> (since when, weight) of each caller in line; `wished`: items that are waited for, or
     owed to callers who have left; `rates`: item -> askings a second;
@@ -56,9 +56,9 @@
     hosts: dict = field(default_factory=dict)
 
 
-def rates_of(demand, now_ms):
+def request_rates(demand, now_ms):
     """item -> askings a second, of what has been asked for lately at all."""
-    rates = {item: rate(demand, now_ms, item) for item in demand.rates}
+    rates = {item: request_rate(demand, now_ms, item) for item in demand.rates}
     return {item: asked for item, asked in rates.items() if asked > _FORGOTTEN}
 
 
@@ -72,7 +72,7 @@
     return found
 
 
-def waiting_of(placer, now_ms, name):
+def waiting_requests(placer, now_ms, name):
     """item -> (since when, weight by class) of each that waits for it in line."""
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
@@ -84,14 +84,14 @@
     return found
 
 
-def wished_of(view):
+def wanted_items(view):
     """Items that somebody waits for, or did not long ago without being served: whoever asks
     next finds them up, also if a load takes longer than anybody waits."""
     demand = view.placer.demand
     owing = {
         item
         for item, known in demand.owed.items()
-        if known.service == view.name and owed(demand, view.now_ms, item) > _STILL_OWED
+        if known.service == view.name and unserved(demand, view.now_ms, item) > _STILL_OWED
     }
     return owing | view.waiting.keys()
 
@@ -106,7 +106,7 @@
     return found
 
 
-def claim(view, item):
+def priority(view, item):
     """How much may be lost, in askings a second, for an item that is waited for: the
     more so the more wait for it, the longer they have, the more urgent they are and the
     more have waited in vain before them.  While nobody waits, only what is asked for less
@@ -117,7 +117,7 @@
     oldest_ms = min(since_ms for since_ms, _ in callers)
     waited_s = (view.now_ms - oldest_ms) / 1000
     waiting = sum(weight for _, weight in callers) * (1 + waited_s)
-    in_vain = _IN_VAIN * owed(view.placer.demand, view.now_ms, item)
+    in_vain = _IN_VAIN * unserved(view.placer.demand, view.now_ms, item)
     return _LEAST + _EACH * (waiting + in_vain)
 
 
@@ -126,7 +126,7 @@
     found: dict = {}
     for name in engines:
         for item in placer.ledger.engines.get(name, {}):
-            if "/" not in item and ledgers.loaded(placer.ledger, name, item):
+            if "/" not in item and ledgers.is_loaded(placer.ledger, name, item):
                 found.setdefault(item, []).append(name)
     return found
 
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -10,9 +10,9 @@
 
 from placement import engine_view, load_queue, order_notes, registry_view
 from placement import ledger as ledgers
-from placement.state import PendingCall, log
+from placement.state import PendingCall, append_record
 
-__all__ = ["call", "due", "on_answer", "order_body"]
+__all__ = ["call", "repeats_due", "on_order_response", "order_body"]
 
 _ADAPTER_MS = 15.0
 # The status of an engine that isn't the one that an order was meant for.
@@ -47,12 +47,12 @@
     )
 
 
-def on_answer(p, now_ms, id_, called, pending, terms):
+def on_order_response(p, now_ms, id_, called, pending, terms):
     """Log what an order's answer proves."""
     engine, item, order = pending.engine, pending.item, pending.order
     first = id_ == order
-    state = _answered(called, pending.verb, first)
-    order_notes.answered(p, order, called, state, not first)
+    state = _proven_state(called, pending.verb, first)
+    order_notes.log_response(p, order, called, state, not first)
     view = engine_view.view_of(p, engine)
     if called.code == _ANOTHER_ENGINE:
         engine_view.address_reused(view, now_ms + terms.dark_ms)
@@ -66,11 +66,11 @@
     if state in ("loaded", "unloaded"):
         _done(p, now_ms, engine, item, entry, state)
         if state == "loaded" and not first and "/" not in item:
-            load_queue.learn(p, now_ms, engine, entry)
+            load_queue.learn_load_time(p, now_ms, engine, entry)
     if state == "refused":
         p.plan.refused_ms[engine, item] = now_ms
         p.demand.pauseMs[engine] = now_ms + terms.call_ms / 10
-    log(p, ledgers.state_record(engine, item, order, state))
+    append_record(p, ledgers.state_record(engine, item, order, state))
 
 
 def _first_ended(view, now_ms, called, pending, state):
@@ -79,18 +79,18 @@
     if state == "taken":
         engine_view.order_taken(view, now_ms, pending.expected)
     elif called.code and state in ("refused", "unknown"):
-        engine_view.doubt_count(view, now_ms)
+        engine_view.invalidate_count(view, now_ms)
 
 
 def _done(p, now_ms, engine, item, entry, state):
     """An order was carried out, by the engine's own word."""
-    engine_view.settled(p.engines[engine], now_ms, item, entry["order"])
+    engine_view.entry_settled(p.engines[engine], now_ms, item, entry["order"])
     if state == "loaded":
         p.demand.up_ms[engine, item] = now_ms
         p.demand.before.setdefault(engine, set()).add(item)
 
 
-def _answered(called, verb, first):
+def _proven_state(called, verb, first):
     """What an order's answer proves; no answer proves nothing.  Nor does it prove that there
     is room if an engine, told for the first time to unload what it holds, says that it is
     done: the answer may belong to another call, and only a report tells."""
@@ -105,7 +105,7 @@
     return "unknown"
 
 
-def due(p, now_ms, registry, name, terms, lease_end_ms):
+def repeats_due(p, now_ms, registry, name, terms, lease_end_ms):
     """Calls that give again what was taken and should be done by now."""
     last_ms = lease_end_ms - terms.call_ms
     if now_ms >= last_ms or p.held.lost:
@@ -131,7 +131,7 @@
                 soon_ms = min(soon_ms, next_ms)
                 continue
             pause_ms = max(_LEAST_PAUSE_MS, _SLOWER * pause_ms)
-            engine_view.repeat_at(view, order, now_ms + pause_ms, pause_ms)
+            engine_view.schedule_repeat(view, order, now_ms + pause_ms, pause_ms)
             body = order_body(p, engine["name"], item, order)
             effects.append(
                 call(
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -10,14 +10,14 @@
 
 from transport.effects import Call
 
-__all__ = ["Roster", "tick", "on_called"]
+__all__ = ["EngineListPoll", "tick", "on_called"]
 
 _PAGES = 200
 _SLACK_MS = 700
 
 
 @dataclass
-class Roster:
+class EngineListPoll:
     asked_ms: float = -1e12
     round: int = 0
     token: str = ""
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -11,7 +11,7 @@
 from placement import engine_view, load_queue, order_notes, registry_view
 from placement import ledger as ledgers
 from placement.engine_view import Report
-from placement.state import log
+from placement.state import append_record
 
 __all__ = ["on_report"]
 
@@ -21,14 +21,14 @@
 def on_report(placer, now_ms, engine, body, asked_ms, registry):
     """A report came that was asked for at `asked_ms`; what can't be read changes nothing."""
     facts = registry.engines.get(engine)
-    if facts is None or not _sound(body):
+    if facts is None or not _is_valid(body):
         return
     view = engine_view.view_of(placer, engine)
     if now_ms < view.replaced_until_ms:
         return
-    report = view.report = _read(body, asked_ms)
+    report = view.report = _parse(body, asked_ms)
     if placer.ledger.incarnations.get(engine) != report.incarnation:
-        _new_life(placer, now_ms, engine, report, registry)
+        _new_incarnation(placer, now_ms, engine, report, registry)
         return
     if engine_view.is_outdated(view, report):
         return
@@ -36,29 +36,31 @@
     _settle_entries(placer, now_ms, engine, report)
     if asked_ms < changed_ms:
         return
-    strange = _strange(placer, engine, report, _facts(registry, facts, report.items))
+    strange = _unexplained(placer, engine, report, _facts(registry, facts, report.items))
     if strange:
-        order_notes.found(placer, now_ms, engine, strange, report)
-        log(placer, ledgers.found_record(engine, report.incarnation, strange, facts["service"]))
-    if not _hidden(placer, engine, report):
+        order_notes.log_found(placer, now_ms, engine, strange, report)
+        append_record(
+            placer, ledgers.found_record(engine, report.incarnation, strange, facts["service"])
+        )
+    if not _hides_open_order(placer, engine, report):
         engine_view.learn_count(view, now_ms, report)
 
 
-def _new_life(placer, now_ms, engine, report, registry):
+def _new_incarnation(placer, now_ms, engine, report, registry):
     """Another engine has begun under the name, or this one is heard of for the first time."""
     view, facts = placer.engines[engine], registry.engines[engine]
-    order_notes.found(placer, now_ms, engine, report.items, report)
+    order_notes.log_found(placer, now_ms, engine, report.items, report)
     found = _facts(registry, facts, report.items)
-    keep = _on_their_way(placer, engine, report.asked_ms)
-    log(
+    keep = _orders_in_flight(placer, engine, report.asked_ms)
+    append_record(
         placer,
         ledgers.found_record(engine, report.incarnation, found, facts["service"], keep),
     )
-    engine_view.new_life(view)
+    engine_view.engine_restarted(view)
     engine_view.learn_count(view, now_ms, report)
 
 
-def _read(body, asked_ms):
+def _parse(body, asked_ms):
     """A Report of a sound body."""
     return Report(
         body["incarnation"],
@@ -83,31 +85,31 @@
             continue
         state = _settled(placer, now_ms, view, item, entry, report)
         if state == "loaded" and entry["verb"] == "load":
-            load_queue.learn(placer, now_ms, engine, entry)
+            load_queue.learn_load_time(placer, now_ms, engine, entry)
         if state:
-            engine_view.settled(view, now_ms, item, entry["order"])
-            order_notes.reported(placer, now_ms, engine, item, entry, state, report)
-            log(placer, ledgers.state_record(engine, item, entry["order"], state))
+            engine_view.entry_settled(view, now_ms, item, entry["order"])
+            order_notes.log_settled(placer, now_ms, engine, item, entry, state, report)
+            append_record(placer, ledgers.state_record(engine, item, entry["order"], state))
     engine_view.forget_ended(view, entries)
 
 
-def _strange(placer, engine, report, told):
+def _unexplained(placer, engine, report, told):
     """Items that a report shows and no order explains, or whose size is told only now."""
     held = placer.ledger.engines.get(engine, {})
     return {
         item: told[item]
         for item, seen in report.items.items()
         if (item not in held and seen != "unloading")
-        or (told[item]["sized"] and _never_sized(held.get(item)))
+        or (told[item]["sized"] and _lacks_size(held.get(item)))
     }
 
 
-def _never_sized(entry):
+def _lacks_size(entry):
     """Whether something was found before any layout told its size."""
     return entry is not None and not entry.get("sized", True)
 
 
-def _hidden(placer, engine, report):
+def _hides_open_order(placer, engine, report):
     """Whether the report shows an item whose entry is an order that may never arrive.  What
     is there came by something else, and is charged only as long as that order's entry is:
     the count says what the engine holds only once the item's own entry stands."""
@@ -119,7 +121,7 @@
     )
 
 
-def _on_their_way(placer, engine, asked_ms):
+def _orders_in_flight(placer, engine, asked_ms):
     """Orders that may reach the new incarnation after it answered this report: their calls
     had not ended when it was asked for, or got no answer."""
     view, found = placer.engines[engine], set()
@@ -133,7 +135,7 @@
     return found
 
 
-def _sound(body):
+def _is_valid(body):
     return (
         isinstance(body, dict)
         and isinstance(body.get("incarnation"), str)
@@ -151,8 +153,8 @@
     nothing is loaded beside it before it is gone or named."""
     found = {}
     for item, state in items.items():
-        size = registry_view.size_of(registry, item)
-        mb, places = size[:2] if size else registry_view.room_of(registry, engine)
+        size = registry_view.item_size(registry, item)
+        mb, places = size[:2] if size else registry_view.engine_room(registry, engine)
         found[item] = {
             "state": "loaded" if state == "loaded" else "taken",
             "mb": mb,
@@ -162,7 +164,7 @@
     return found
 
 
-def _missing_again(view, now_ms, item, order, asked_ms):
+def _confirmed_missing(view, now_ms, item, order, asked_ms):
     """An engine that woke may answer a report before an order that came earlier on another
     pipe; so it takes a second report in a row, asked for after the first."""
     first_ms = view.missing_ms.setdefault((item, order), now_ms)
@@ -189,7 +191,7 @@
         return "loaded" if entry["state"] != "loaded" else None
     if seen is None and (
         entry["state"] == "taken"
-        or _missing_again(view, now_ms, item, entry["order"], report.asked_ms)
+        or _confirmed_missing(view, now_ms, item, entry["order"], report.asked_ms)
     ):
         return "forgotten"
     return None
@@ -201,14 +203,19 @@
     if engine_view.call_open(view, order):
         return False
     ended_ms = engine_view.ended_ms(view, order)
-    if ended_ms is None and order and entry["state"] == "intended" and _ours(placer, entry):
+    if (
+        ended_ms is None
+        and order
+        and entry["state"] == "intended"
+        and _from_this_epoch(placer, entry)
+    ):
         return False
     if ended_ms is not None and asked_ms <= ended_ms:
         return False
-    return asked_ms >= placer.not_before_ms or _ours(placer, entry)
+    return asked_ms >= placer.not_before_ms or _from_this_epoch(placer, entry)
 
 
-def _ours(placer, entry):
+def _from_this_epoch(placer, entry):
     """Whether this epoch gave the order; an older epoch's intent may have been sent, and is
     settled by a report after the old holder's time."""
     return entry["order"].startswith(f"{placer.shard}.{placer.epoch}.")
--- a/libs/placement/src/placement/engine_view.py
+++ b/libs/placement/src/placement/engine_view.py
@@ -23,22 +23,22 @@
     "call_ended",
     "call_open",
     "count_known",
-    "doubt_count",
+    "invalidate_count",
     "ended_ms",
     "expected_count",
     "forget_ended",
     "is_outdated",
     "learn_count",
-    "may_order",
-    "new_life",
+    "can_take_order",
+    "engine_restarted",
     "order_sent",
     "order_taken",
-    "poll_made",
-    "recovered",
-    "repeat_at",
-    "report_silent",
+    "poll_sent",
+    "restore_calls",
+    "schedule_repeat",
+    "report_failed",
     "reports_of",
-    "settled",
+    "entry_settled",
     "view_of",
 ]
 
@@ -128,7 +128,7 @@
     return view.count is not None or (view.report is not None and view.report.orders is None)
 
 
-def may_order(view, entries):
+def can_take_order(view, entries):
     """Whether the engine may be given an order beside these entries; one that counts its
     orders carries out one at a time, so nothing is given beside one that is under way."""
     if view.count is None:
@@ -148,12 +148,12 @@
     return None if call is None else call.ended_ms
 
 
-def poll_made(view, poll):
+def poll_sent(view, poll):
     """A report was asked for."""
     view.poll = poll
 
 
-def report_silent(view, now_ms, dark_ms):
+def report_failed(view, now_ms, dark_ms):
     """A call for a report got no answer: after a while the last report counts no more."""
     if view.report is not None and now_ms - view.report.asked_ms > dark_ms:
         view.report = None
@@ -169,7 +169,7 @@
     view.calls[order] = OrderCall(now_ms)
 
 
-def repeat_at(view, order, at_ms, pause_ms):
+def schedule_repeat(view, order, at_ms, pause_ms):
     """An order that was taken is given again at `at_ms`, and the next time after more than
     `pause_ms`."""
     call = view.calls[order]
@@ -182,14 +182,14 @@
         view.count = OrderCount(expected + 1, now_ms)
 
 
-def doubt_count(view, now_ms):
+def invalidate_count(view, now_ms):
     """The entries may differ from what the engine holds: only a report asked for after
     `now_ms` says again what that is."""
     view.count = None
     view.doubted_ms = now_ms
 
 
-def settled(view, now_ms, item, order):
+def entry_settled(view, now_ms, item, order):
     """An entry stands, or is gone, by the engine's word: no earlier report counts."""
     view.changed_ms = now_ms
     view.missing_ms.pop((item, order), None)
@@ -219,7 +219,7 @@
         view.count = OrderCount(report.orders, now_ms)
 
 
-def new_life(view):
+def engine_restarted(view):
     """Another engine has begun under the name: its count has to be learned."""
     view.count = None
     view.doubted_ms = _NEVER_MS
@@ -232,7 +232,7 @@
     view.replaced_until_ms = until_ms
 
 
-def recovered(view, now_ms, entries):
+def restore_calls(view, now_ms, entries):
     """Taken over from a former holder: what it knew to be taken is counted from now."""
     for entry in entries.values():
         if entry["state"] == "taken":
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -3,9 +3,9 @@
 import math
 
 from placement import registry_view
-from placement.demand_view import claim
+from placement.demand_view import priority
 
-__all__ = ["SPARE", "needed_copies", "pushed_out", "wanted_copies", "worth"]
+__all__ = ["SPARE", "needed_copies", "eviction_for", "wanted_copies", "copy_value"]
 
 # Parts of their slots that a model's copies may be busy at: with fewer copies callers are
 # turned away, and with more than these nothing is gained.
@@ -22,12 +22,12 @@
 _KEEP_MS = 500.0
 
 
-def worth(view, model):
+def copy_value(view, model):
     """What would be lost with one copy of a model, in askings a second."""
     copies = view.copies.get(model, 1)
     asked = view.rates.get(model, 0.0) + 0.001
     if copies <= 1:
-        return asked + (claim(view, model) if model in view.waiting else 0.0)
+        return asked + (priority(view, model) if model in view.waiting else 0.0)
     if copies <= needed_copies(view, model):
         return asked / copies
     if copies <= wanted_copies(view, model):
@@ -52,7 +52,7 @@
     return max(1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.run_s / (part * slots)))
 
 
-def pushed_out(view, name, model, size_mb):
+def eviction_for(view, name, model, size_mb):
     """(cost, models to push out) to make room for a model on an engine, or None."""
     items = view.placer.ledger.engines.get(name, {})
     usedMb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
@@ -66,11 +66,11 @@
         if view.now_ms - view.placer.demand.up_ms.get((name, other), -1e12) < _KEEP_MS:
             continue
         own_mb = sum(
-            registry_view.charge_of(view.registry, i, e)[0]
+            registry_view.entry_charge(view.registry, i, e)[0]
             for i, e in items.items()
             if i.partition("/")[0] == other
         )
-        found.append((worth(view, other), other, own_mb))
+        found.append((copy_value(view, other), other, own_mb))
     cost, out = 0.0, []
     for its_worth, other, own_mb in sorted(found):
         if free_mb >= size_mb:
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -14,10 +14,10 @@
     "dump",
     "load",
     "charged",
-    "loads_out",
-    "coming",
+    "open_loads",
+    "is_loading",
     "is_open_load",
-    "loaded",
+    "is_loaded",
     "order_record",
     "state_record",
     "hold_record",
@@ -30,7 +30,7 @@
     "cleared_record",
 ]
 
-_TOLD = 500
+_MAX_REJECTED = 500
 _OPEN = ("intended", "taken", "unknown")
 
 
@@ -47,12 +47,12 @@
     suspects: dict = field(default_factory=dict)
 
 
-def _pack(told):
+def _encode(told):
     return json.dumps(told, separators=(",", ":"), sort_keys=True).encode()
 
 
 def order_record(engine, item, verb, order, mb, places, service):
-    return _pack(
+    return _encode(
         {
             "k": "order",
             "engine": engine,
@@ -67,13 +67,13 @@
 
 
 def state_record(engine, item, order, state):
-    return _pack({"k": "state", "engine": engine, "item": item, "order": order, "state": state})
+    return _encode({"k": "state", "engine": engine, "item": item, "order": order, "state": state})
 
 
 def found_record(engine, incarnation, items, service, keep=()):
     """A new incarnation of an engine, or things on it that no order explains; of
     what was ordered before, a new incarnation may still come to hold `keep`."""
-    return _pack(
+    return _encode(
         {
             "k": "found",
             "engine": engine,
@@ -86,15 +86,15 @@
 
 
 def hold_record(hold):
-    return _pack({"k": "hold", "hold": hold})
+    return _encode({"k": "hold", "hold": hold})
 
 
 def unhold_record(id_, why, retryMs=0):
-    return _pack({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
+    return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
 
 
 def unmet_record(service, unmet):
-    return _pack({"k": "unmet", "service": service, "unmet": unmet})
+    return _encode({"k": "unmet", "service": service, "unmet": unmet})
 
 
 def apply(ledger, record):
@@ -125,7 +125,7 @@
     elif kind == "unhold":
         if ledger.holds.pop(told["id"], None) and told.get("retryMs"):
             ledger.told[told["id"]] = [told["why"], told["retryMs"]]
-            while len(ledger.told) > _TOLD:
+            while len(ledger.told) > _MAX_REJECTED:
                 del ledger.told[next(iter(ledger.told))]
     elif kind == "unmet":
         ledger.unmet[told["service"]] = told["unmet"]
@@ -182,7 +182,7 @@
     return sum(i["mb"] for i in items), sum(i["places"] for i in items)
 
 
-def loads_out(ledger, service, adapters=True):
+def open_loads(ledger, service, adapters=True):
     """Loads that may still be asking the weight store for something; adapters too,
     unless they come from elsewhere."""
     return sum(
@@ -197,7 +197,7 @@
     return entry["verb"] == "load" and entry["state"] in _OPEN
 
 
-def coming(ledger, items):
+def is_loading(ledger, items):
     """Whether one of `items` is being loaded by an engine that isn't suspect."""
     return any(
         entry is not None and is_open_load(entry)
@@ -207,7 +207,7 @@
     )
 
 
-def loaded(ledger, engine, item):
+def is_loaded(ledger, engine, item):
     """Whether an item is up; an adapter is only while its model is, if that is known."""
     items = ledger.engines.get(engine, {})
     model = items.get(item.partition("/")[0])
@@ -229,18 +229,18 @@
 def dropped_record(engine):
     """An engine the platform says is gone holds nothing any more; what it was
     loading lingers, since the store may go on serving it."""
-    return _pack({"k": "dropped", "engine": engine})
+    return _encode({"k": "dropped", "engine": engine})
 
 
 def suspect_record(engine):
     """An engine answers callers badly: it gets no work for a while."""
-    return _pack({"k": "suspect", "engine": engine})
+    return _encode({"k": "suspect", "engine": engine})
 
 
 def cleared_record(engine):
     """A suspect engine is tried again."""
-    return _pack({"k": "cleared", "engine": engine})
+    return _encode({"k": "cleared", "engine": engine})
 
 
 def lingered_record(order):
-    return _pack({"k": "lingered", "order": order})
+    return _encode({"k": "lingered", "order": order})
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -12,9 +12,17 @@
 
 from placement import engine_view, placement
 from placement import ledger as ledgers
-from placement.state import log
-
-__all__ = ["queue", "estimate", "give_up", "learn", "drop_lost", "store_rate", "waited_for"]
+from placement.state import append_record
+
+__all__ = [
+    "ordered_loads",
+    "estimate_wait",
+    "reject_unservable",
+    "learn_load_time",
+    "drop_lost_counters",
+    "store_rate",
+    "waiting_since",
+]
 
 _STEP_MS = 10000.0
 
@@ -25,7 +33,7 @@
     return burst, (loads["perMinute"] - burst) / 60000
 
 
-def waited_for(p, name):
+def waiting_since(p, name):
     """item -> since when, in effect, somebody waits for it."""
     found: dict = {}
     for id_, hold in p.ledger.holds.items():
@@ -37,15 +45,15 @@
     return found
 
 
-def queue(p, name, made, yields):
+def ordered_loads(p, name, made, yields):
     """(engine, item) still to be loaded, next one first."""
-    waited = waited_for(p, name)
+    waited = waiting_since(p, name)
 
     def turn(place):
         engine, item = place
         if item in waited and not _comes_up(p, item):
             return (0, waited[item], item, engine)
-        return (1, yields.get(made.targets[engine][item], placement.LAST), item, engine)
+        return (1, yields.get(made.targets[engine][item], placement.BEST_EFFORT), item, engine)
 
     return sorted(
         (
@@ -64,7 +72,7 @@
     )
 
 
-def learn(p, now_ms, engine, entry):
+def learn_load_time(p, now_ms, engine, entry):
     """A load was seen done: remember how long they take."""
     ended_ms, service = _ended_ms(p, engine, entry), entry["service"]
     if ended_ms is not None:
@@ -72,7 +80,7 @@
         p.plan.load_ms[service] = 0.7 * p.plan.load_ms.get(service, took_ms) + 0.3 * took_ms
 
 
-def estimate(p, now_ms, name, loads, item, terms):
+def estimate_wait(p, now_ms, name, loads, item, terms):
     """In how many ms an item will be up somewhere; None if nothing brings it.  What
     a silent engine may be loading, or one that gets no work holds, is no hope."""
     loadMs = p.plan.load_ms.get(name, 2 * terms.report_ms)
@@ -95,7 +103,7 @@
         return None
     tokens = p.plan.tokens.get(name, (0.0, now_ms))[0]
     per_ms = max(1e-9, store_rate(loads)[1])
-    open_loads = ledgers.loads_out(p.ledger, name)
+    open_loads = ledgers.open_loads(p.ledger, name)
     rate_ms = max(0.0, (places[0] - tokens) / per_ms)
     turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * loadMs
     steps = 2 if adapter and not _loaded(p, base) else 1
@@ -109,7 +117,7 @@
 
 
 def _loaded(p, item):
-    return any(ledgers.loaded(p.ledger, engine, item) for engine in p.ledger.engines)
+    return any(ledgers.is_loaded(p.ledger, engine, item) for engine in p.ledger.engines)
 
 
 def _serving(p, name):
@@ -118,7 +126,7 @@
     return {e.name for e in plan[0][2]} if plan else set(engine_view.reports_of(p))
 
 
-def give_up(p, now_ms, name, loads, made, terms):
+def reject_unservable(p, now_ms, name, loads, made, terms):
     """Tell those whom no plan has room for, or whose deadline can't be met."""
     coming = {i for targets in made.targets.values() for i in targets}
     serving = _serving(p, name)
@@ -131,7 +139,7 @@
         if item not in coming:
             _tell(p, id_, "no-room", 10 * terms.call_ms)
             continue
-        wait_ms = estimate(p, now_ms, name, loads, item, terms)
+        wait_ms = estimate_wait(p, now_ms, name, loads, item, terms)
         end_ms = p.line.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
@@ -143,10 +151,10 @@
 
 def _tell(p, id_, why, retryMs):
     p.line.since_ms.pop(id_, None)
-    log(p, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
+    append_record(p, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
 
 
-def drop_lost(p, lost):
+def drop_lost_counters(p, lost):
     """A counter's death frees the places of those who waited at it; `lost` says
     of a counter's name and life whether it is gone."""
     for id_, hold in list(p.ledger.holds.items()):
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -10,7 +10,15 @@
 from placement import engine_view
 from placement import ledger as ledgers
 
-__all__ = ["drain", "ordered", "answered", "reported", "found", "summary", "summary_due"]
+__all__ = [
+    "drain",
+    "log_order",
+    "log_response",
+    "log_settled",
+    "log_found",
+    "log_summary",
+    "summary_due",
+]
 
 _SUMMARY_PAUSE_MS = 1000.0
 
@@ -25,7 +33,7 @@
     placer.notes.append(Note(what, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True))
 
 
-def ordered(placer, engine, item, verb, order):
+def log_order(placer, engine, item, verb, order):
     """An order was given; `charged`: MB and adapter places beside it on the engine."""
     _add(
         placer,
@@ -41,7 +49,7 @@
     )
 
 
-def answered(placer, order, called, state, again):
+def log_response(placer, order, called, state, again):
     """An order's answer; `again`: to a call that gave it again, `kept`: on a connection
     that had carried other calls.  That it is still being carried out is no news."""
     if again and state == "taken":
@@ -59,7 +67,7 @@
     )
 
 
-def reported(placer, now_ms, engine, item, entry, state, report):
+def log_settled(placer, now_ms, engine, item, entry, state, report):
     """A report settled an entry of the ledger."""
     _add(
         placer,
@@ -78,7 +86,7 @@
     )
 
 
-def found(placer, now_ms, engine, items, report):
+def log_found(placer, now_ms, engine, items, report):
     """A report showed items that no order explains, or a new life of an engine."""
     _add(
         placer,
@@ -98,7 +106,7 @@
     return now_ms - placer.summary_ms >= _SUMMARY_PAUSE_MS
 
 
-def summary(placer, now_ms, service, facts_of):
+def log_summary(placer, now_ms, service, facts_of):
     """Once a second while callers wait: how many, for what, and what holds it up;
     `facts_of()` tells it."""
     if summary_due(placer, now_ms):
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -8,9 +8,9 @@
 
 from placement import engine_calls, engine_view, load_queue, order_notes, placement, registry_view
 from placement import ledger as ledgers
-from placement.state import log
+from placement.state import append_record
 
-__all__ = ["plan", "give", "store_allows"]
+__all__ = ["plan", "give_order", "store_allows"]
 
 # How many times the loads that its rate makes up at full speed may be out at the store.
 _MOST_TIMES = 4
@@ -23,7 +23,7 @@
     engines = registry_view.placement_engines(registry, name, engine_view.reports_of(p))
     made = _made(p, registry, name, service, engines)
     if engines:
-        load_queue.give_up(p, now_ms, name, service["loads"], made, terms)
+        load_queue.reject_unservable(p, now_ms, name, service["loads"], made, terms)
     sizes = {e.name: e for e in engines}
     for engine in engines:
         _unload(p, registry, engine, name, made, sizes)
@@ -46,13 +46,13 @@
     }
     wishes = registry_view.wishes_of(registry, name, p.ledger)
     made = placement.place(engines, wishes, registry_view.shares_of(service), present)
-    p.plan.queues[name] = load_queue.queue(p, name, made, {w.id: w.yields for w in wishes})
-    _tell_unmet(p, name, made, service)
+    p.plan.queues[name] = load_queue.ordered_loads(p, name, made, {w.id: w.yields for w in wishes})
+    _log_unmet(p, name, made, service)
     p.plan.plans[name] = (inputs, made)
     return made
 
 
-def _tell_unmet(p, name, made, service):
+def _log_unmet(p, name, made, service):
     unmet = made.unmet
     if service["loads"]["atOnce"] == 0 and not unmet:
         unmet = {
@@ -66,14 +66,14 @@
             }
         }
     if p.ledger.unmet.get(name, {}) != unmet:
-        log(p, ledgers.unmet_record(name, unmet))
+        append_record(p, ledgers.unmet_record(name, unmet))
 
 
-def give(p, engine, item, verb, mb, places, service):
+def give_order(p, engine, item, verb, mb, places, service):
     """Log an order; it is sent once the record is durable."""
     number = p.ledger.orderCount + 1
     order = f"{p.shard}.{p.epoch}.{number}"
-    order_notes.ordered(p, engine, item, verb, order)
+    order_notes.log_order(p, engine, item, verb, order)
     body = {
         **engine_calls.order_body(p, engine, item, order),
         "shard": p.shard,
@@ -81,7 +81,7 @@
         "roomMb": mb,
         "places": places,
     }
-    log(
+    append_record(
         p,
         ledgers.order_record(engine, item, verb, order, mb, places, service),
         ("order", engine, item, order, verb, body),
@@ -91,7 +91,7 @@
 def _may_order(p, engine):
     """Whether an engine may be given an order now."""
     entries = p.ledger.engines.get(engine, {})
-    return engine_view.may_order(engine_view.view_of(p, engine), entries)
+    return engine_view.can_take_order(engine_view.view_of(p, engine), entries)
 
 
 def _moving(p, registry, engine, item, made, sizes):
@@ -99,7 +99,7 @@
     return any(
         item in targets
         and other != engine
-        and not ledgers.loaded(p.ledger, other, item)
+        and not ledgers.is_loaded(p.ledger, other, item)
         and (item in p.ledger.engines.get(other, {}) or _fits(p, registry, sizes[other], item))
         for other, targets in made.targets.items()
     )
@@ -116,7 +116,7 @@
             continue
         if "/" not in item and any(other.startswith(item + "/") for other in items):
             continue
-        if not missing and registry_view.size_of(registry, item) is not None:
+        if not missing and registry_view.item_size(registry, item) is not None:
             continue
         if not _may_order(p, engine.name):
             return
@@ -124,7 +124,7 @@
             p, registry, engine.name, item, made, sizes
         ):
             continue
-        give(p, engine.name, item, "unload", entry["mb"], entry["places"], service)
+        give_order(p, engine.name, item, "unload", entry["mb"], entry["places"], service)
 
 
 def _fits(p, registry, engine, item):
@@ -135,9 +135,9 @@
     if not _may_order(p, engine.name):
         return False
     base = item.partition("/")[0]
-    if "/" in item and not ledgers.loaded(p.ledger, engine.name, base):
+    if "/" in item and not ledgers.is_loaded(p.ledger, engine.name, base):
         return False
-    size = registry_view.size_of(registry, item)
+    size = registry_view.item_size(registry, item)
     usedMb, used_places = registry_view.charged(registry, p.ledger, engine.name)
     return (
         size is not None
@@ -150,8 +150,8 @@
     """Order it, if the store bears it."""
     if not store_allows(p, now_ms, name, service["loads"]):
         return False
-    size = registry_view.size_of(registry, item)
-    give(p, engine, item, "load", size[0], size[1], name)
+    size = registry_view.item_size(registry, item)
+    give_order(p, engine, item, "load", size[0], size[1], name)
     return True
 
 
@@ -169,7 +169,7 @@
 def store_allows(p, now_ms, name, loads):
     """Whether one more load keeps within the service's part of the store; takes it."""
     burst, per_ms = load_queue.store_rate(loads)
-    out = ledgers.loads_out(p.ledger, name, loads.get("adapters", True))
+    out = ledgers.open_loads(p.ledger, name, loads.get("adapters", True))
     if out >= _at_once(loads, per_ms * p.plan.load_ms.get(name, 0.0)):
         return False
     tokens, at_ms = p.plan.tokens.get(name, (burst if p.epoch == 1 else 0.0, now_ms))
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -11,9 +11,9 @@
 import hashlib
 from dataclasses import dataclass, field
 
-__all__ = ["Engine", "Wish", "Plan", "place", "item_name", "LAST"]
+__all__ = ["Engine", "Wish", "Plan", "place", "item_name", "BEST_EFFORT"]
 
-LAST = 1000
+BEST_EFFORT = 1000
 
 
 @dataclass(frozen=True)
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class _Work:
+class _PlanInProgress:
     engines: dict
     shares: dict
     present: dict
@@ -67,7 +67,7 @@
 
 def place(engines, wishes, shares, present):
     """`shares`: partner -> part of the room; `present`: engine -> items."""
-    work = _Work(
+    work = _PlanInProgress(
         {e.name: e for e in engines},
         shares,
         present,
@@ -84,14 +84,14 @@
     )
     late = []
     for _, wish in turns:
-        if wish.yields >= LAST or not _try(work, wish, True):
+        if wish.yields >= BEST_EFFORT or not _try(work, wish, True):
             late.append(wish)
     missing = {}
     for wish in late:
         if not _try(work, wish, False):
             missing[wish.id] = wish
     for wish in missing.values():
-        if wish.yields < LAST:
+        if wish.yields < BEST_EFFORT:
             work.plan.unmet[wish.id] = _reason(work, wish)
     return work.plan
 
@@ -134,7 +134,7 @@
     best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
     _take(work, wish, item, best)
     mine.add(best)
-    if not own_share and wish.yields < LAST:
+    if not own_share and wish.yields < BEST_EFFORT:
         work.plan.lent.add((best, item))
     return True
 
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -26,16 +26,16 @@
 )
 from placement import ledger as ledgers
 from placement.engine_view import Poll
-from placement.state import log
+from placement.state import append_record
 
-__all__ = ["taken_over", "tick", "on_called", "on_durable", "command", "poll_of"]
+__all__ = ["on_taken_over", "tick", "on_called", "on_durable", "on_command", "new_poll"]
 
 _OWN = 0.25
 # Of a call's time: the least time between two plans that answers bring about.
 _BETWEEN_PLANS = 0.01
 
 
-def taken_over(p, now_ms, terms):
+def on_taken_over(p, now_ms, terms):
     """The shard is recovered: read reports, but order nothing yet.  A life of ours
     that held it before is over, so only what it sent last may still be on its way."""
     p.ledger = ledgers.load(p.held.checkpoint)
@@ -45,7 +45,7 @@
         _OWN * terms.call_ms if p.own and terms.turnMs else max(terms.call_ms, terms.turnMs)
     )
     for engine, entries in p.ledger.engines.items():
-        engine_view.recovered(engine_view.view_of(p, engine), now_ms, entries)
+        engine_view.restore_calls(engine_view.view_of(p, engine), now_ms, entries)
     p.line.since_ms = {id_: now_ms for id_ in p.ledger.holds}
 
 
@@ -54,16 +54,16 @@
     if not p.held.ready or p.held.lost or now_ms >= lease_end_ms:
         return []
     effects = _poll(p, now_ms, registry, shards, terms)
-    _drop_gone(p, now_ms, registry, terms)
+    _drop_gone_engines(p, now_ms, registry, terms)
     _expire_holds(p, now_ms)
-    load_queue.drop_lost(p, lost)
-    suspects.due(p, now_ms, registry, shards, terms)
+    load_queue.drop_lost_counters(p, lost)
+    suspects.update_suspects(p, now_ms, registry, shards, terms)
     if now_ms >= p.not_before_ms:
         p.plan.planned_ms = now_ms
         for name, service in registry_view.services_of(registry, p.shard, shards).items():
             if service.get("byDemand"):
                 demand_planner.plan(p, now_ms, registry, name, service, terms)
-                effects += engine_calls.due(p, now_ms, registry, name, terms, lease_end_ms)
+                effects += engine_calls.repeats_due(p, now_ms, registry, name, terms, lease_end_ms)
             elif service["kind"] == "models":
                 orders.plan(p, now_ms, registry, name, service, terms)
     return effects + order_notes.drain(p)
@@ -77,18 +77,18 @@
         for engine in registry_view.engines_of(registry, name):
             if not _poll_due(p, now_ms, engine, service, terms):
                 continue
-            poll = poll_of(p, now_ms, engine["name"])
+            poll = new_poll(p, now_ms, engine["name"])
             effects.append(
                 engine_calls.call(p, now_ms, poll.id, "report", engine, {}, terms, "", "")
             )
     return effects
 
 
-def poll_of(p, now_ms, engine):
+def new_poll(p, now_ms, engine):
     """The next call for an engine's report."""
     p.report_count += 1
     poll = Poll(f"report:{engine}:{p.report_count}", now_ms)
-    engine_view.poll_made(engine_view.view_of(p, engine), poll)
+    engine_view.poll_sent(engine_view.view_of(p, engine), poll)
     return poll
 
 
@@ -118,23 +118,23 @@
     return 5 * terms.report_ms
 
 
-def _drop_gone(p, now_ms, registry, terms):
+def _drop_gone_engines(p, now_ms, registry, terms):
     """Forget engines the platform calls gone.  What they were loading is counted
     until it can no longer ask the store; a new holder counts it from its start."""
     for engine in [e for e in p.ledger.incarnations if e not in registry.engines]:
-        log(p, ledgers.dropped_record(engine))
+        append_record(p, ledgers.dropped_record(engine))
         p.engines.pop(engine, None)
     for order, service in list(p.ledger.lingering.items()):
         last_ms = max(terms.dark_ms, 2 * p.plan.load_ms.get(service, 0.0))
         if now_ms - p.plan.lingering_ms.setdefault(order, now_ms) >= last_ms:
             del p.plan.lingering_ms[order]
-            log(p, ledgers.lingered_record(order))
+            append_record(p, ledgers.lingered_record(order))
 
 
 def _expire_holds(p, now_ms):
     for id_, hold in list(p.ledger.holds.items()):
         if now_ms - p.line.since_ms.setdefault(id_, now_ms) > hold["waitMs"]:
-            log(p, ledgers.unhold_record(id_, "expired"))
+            append_record(p, ledgers.unhold_record(id_, "expired"))
             p.line.since_ms.pop(id_, None)
 
 
@@ -149,21 +149,21 @@
         last_ms = lease_end_ms - terms.call_ms
         may_send = facts is not None and now_ms < last_ms and not p.held.lost
         if may_send and verb == "load":
-            may_send = _still_fits(p, registry, facts)
+            may_send = _fits_current_sizes(p, registry, facts)
         if not may_send or not registry_view.usable(registry, facts):
-            log(p, ledgers.state_record(engine, item, order, "refused"))
+            append_record(p, ledgers.state_record(engine, item, order, "refused"))
             return []
         engine_view.order_sent(engine_view.view_of(p, engine), order)
         return [engine_calls.call(p, now_ms, order, verb, facts, body, terms, item, order, last_ms)]
     return []
 
 
-def _still_fits(p, registry, facts):
+def _fits_current_sizes(p, registry, facts):
     """Whether a load still fits with the sizes told now: another configuration may be in force
     than when the order was logged, and have grown what is charged beyond the room."""
     logged_mb, logged_places = ledgers.charged(p.ledger, facts["name"])
     used_mb, used_places = registry_view.charged(registry, p.ledger, facts["name"])
-    room_mb, places = registry_view.room_of(registry, facts)
+    room_mb, places = registry_view.engine_room(registry, facts)
     return used_mb <= max(room_mb, logged_mb) and used_places <= max(places, logged_places)
 
 
@@ -178,9 +178,9 @@
             asked_ms = pending.asked_ms - terms.lagMs
             engine_reports.on_report(p, now_ms, engine, called.body, asked_ms, registry)
         else:
-            engine_view.report_silent(engine_view.view_of(p, engine), now_ms, terms.dark_ms)
+            engine_view.report_failed(engine_view.view_of(p, engine), now_ms, terms.dark_ms)
         return order_notes.drain(p)
-    engine_calls.on_answer(p, now_ms, id_, called, pending, terms)
+    engine_calls.on_order_response(p, now_ms, id_, called, pending, terms)
     return _soon(p, now_ms, terms) + order_notes.drain(p)
 
 
@@ -193,16 +193,16 @@
     )
 
 
-def command(p, now_ms, token, verb, body, registry, terms):
+def on_command(p, now_ms, token, verb, body, registry, terms):
     """A counter puts a task in line, or takes it out; answered once durable."""
     if verb == "wanted":
         for item, count in body["items"].items():
-            demand.tell(p.demand, now_ms, item, count)
+            demand.record_requests(p.demand, now_ms, item, count)
             _pay(p, item)
-        suspects.tell(p.watch, now_ms, body.get("outcomes", {}), terms.dark_ms)
+        suspects.record_outcomes(p.watch, now_ms, body.get("outcomes", {}), terms.dark_ms)
         return []
     if verb == "hold":
-        return _hold(p, now_ms, token, body, registry, terms)
+        return _on_hold(p, now_ms, token, body, registry, terms)
     id_ = str(body.get("id"))
     if id_ not in p.ledger.holds:
         return [Reply(token, {"id": id_, "gone": True})]
@@ -210,7 +210,7 @@
     for item in {hold["model"], placement.item_name(hold["model"], hold["adapter"])}:
         _pay(p, item)
     p.line.since_ms.pop(id_, None)
-    log(
+    append_record(
         p,
         ledgers.unhold_record(id_, str(body.get("why", "")) or "done"),
         ("reply", token, {"id": id_, "gone": True}),
@@ -221,12 +221,12 @@
 def _pay(p, item):
     """Whoever asks for an item, or leaves the line, while it is up has been served by it."""
     if item in p.demand.owed and any(
-        ledgers.loaded(p.ledger, engine, item) for engine in p.ledger.engines
+        ledgers.is_loaded(p.ledger, engine, item) for engine in p.ledger.engines
     ):
-        demand.pay(p.demand, item)
+        demand.clear_unserved(p.demand, item)
 
 
-def _hold(p, now_ms, token, body, registry, terms):
+def _on_hold(p, now_ms, token, body, registry, terms):
     id_ = body["id"]
     if id_ in p.ledger.holds:
         answer = {"id": id_, "turn": p.ledger.holds[id_]["turn"]}
@@ -236,19 +236,19 @@
         return [Reply(token, failures.UnknownModel(body["service"], body["model"]))]
     item = placement.item_name(body["model"], body["adapter"])
     for asked_for in {body["model"], item}:
-        demand.tell(p.demand, now_ms, asked_for, 1)
-        demand.owe(p.demand, now_ms, body["service"], asked_for)
+        demand.record_requests(p.demand, now_ms, asked_for, 1)
+        demand.record_unserved(p.demand, now_ms, body["service"], asked_for)
     same = sum(1 for h in p.ledger.holds.values() if h["model"] == body["model"])
     if len(p.ledger.holds) >= terms.holds_max or same >= terms.holds_per_model:
         return [Reply(token, failures.Overloaded(int(10 * terms.call_ms), "waitlist"))]
     loads = registries.services(registry)[body["service"]]["loads"]
     if not loads["atOnce"] or not loads["perMinute"]:
         return [Reply(token, failures.NoRoom(int(30 * terms.call_ms), body["model"], "no-loads"))]
-    wait_ms = load_queue.estimate(p, now_ms, body["service"], loads, item, terms)
+    wait_ms = load_queue.estimate_wait(p, now_ms, body["service"], loads, item, terms)
     if wait_ms is not None and wait_ms > body["waitMs"]:
         return [Reply(token, failures.NoRoom(int(wait_ms), body["model"], "loads-queue"))]
     p.line.since_ms[id_] = now_ms
-    log(
+    append_record(
         p,
         ledgers.hold_record(
             {
--- a/libs/placement/src/placement/registry_view.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -9,7 +9,7 @@
 
 from configuration import registry as registries
 
-from placement.placement import LAST, Engine, Wish, item_name
+from placement.placement import BEST_EFFORT, Engine, Wish, item_name
 
 __all__ = [
     "shard_of",
@@ -17,12 +17,12 @@
     "usable",
     "wishes_of",
     "shares_of",
-    "size_of",
-    "charge_of",
+    "item_size",
+    "entry_charge",
     "charged",
     "engines_of",
     "placement_engines",
-    "room_of",
+    "engine_room",
 ]
 
 
@@ -47,7 +47,7 @@
     return [engine for _, engine in sorted(found)]
 
 
-def size_of(registry, item):
+def item_size(registry, item):
     """(room, places, partner) of an item, or None if no layout names it now."""
     model, _, adapter = item.partition("/")
     found = registries.models(registry).get(model)
@@ -61,17 +61,17 @@
     return facts.get("roomMb", 0), facts["places"], found["partner"]
 
 
-def charge_of(registry, item, entry):
+def entry_charge(registry, item, entry):
     """(room, adapter places) that a ledger's entry may be using: its size when it was
     ordered or the one told now, whichever is more, since a layout may have changed it."""
-    told = size_of(registry, item) or (0, 0)
+    told = item_size(registry, item) or (0, 0)
     return max(entry["mb"], told[0]), max(entry["places"], told[1])
 
 
 def charged(registry, ledger, engine):
     """(room, adapter places) that all entries on this engine may be using."""
     items = ledger.engines.get(engine, {})
-    charges = [charge_of(registry, item, entry) for item, entry in items.items()]
+    charges = [entry_charge(registry, item, entry) for item, entry in items.items()]
     return sum(mb for mb, _ in charges), sum(places for _, places in charges)
 
 
@@ -106,7 +106,7 @@
             turns[key] = min(turns.get(key, hold["turn"]), hold["turn"])
     for number, (_turn, (model, adapter)) in enumerate(sorted((t, k) for k, t in turns.items())):
         item = item_name(model, adapter)
-        if size_of(registry, item):
+        if item_size(registry, item):
             found.append(
                 _wish(
                     models,
@@ -116,7 +116,7 @@
                     adapter,
                     1,
                     (),
-                    LAST + number,
+                    BEST_EFFORT + number,
                 )
             )
     return found + _kept(registry, models, service, ledger)
@@ -126,7 +126,7 @@
     found = []
     for engine, items in sorted(ledger.engines.items()):
         for item, entry in sorted(items.items()):
-            if entry["service"] == service and size_of(registry, item):
+            if entry["service"] == service and item_size(registry, item):
                 model, _, adapter = item.partition("/")
                 found.append(
                     _wish(
@@ -137,7 +137,7 @@
                         adapter,
                         1,
                         (),
-                        LAST * 100,
+                        BEST_EFFORT * 100,
                         engine,
                     )
                 )
@@ -156,7 +156,7 @@
     for engine in engines_of(registry, service):
         report = reports.get(engine["name"])
         if usable(registry, engine) and report is not None:
-            roomMb, places = room_of(registry, engine)
+            roomMb, places = engine_room(registry, engine)
             found.append(
                 Engine(
                     engine["name"],
@@ -168,7 +168,7 @@
     return found
 
 
-def room_of(registry, engine):
+def engine_room(registry, engine):
     """(room, adapter places) of an engine, its own or as its service's layout says."""
     service = registries.services(registry).get(engine["service"], {})
     return (
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -8,11 +8,18 @@
 from placement import demand as demands
 from placement import ledger as ledgers
 
-__all__ = ["LineState", "PendingCall", "Placer", "PlanState", "Terms", "log"]
+__all__ = [
+    "WaitQueueState",
+    "PendingCall",
+    "Placer",
+    "PlanState",
+    "PlacerSettings",
+    "append_record",
+]
 
 
 @dataclass(frozen=True)
-class Terms:
+class PlacerSettings:
     """All in ms, ratios of the bounds in config."""
 
     call_ms: float
@@ -56,7 +63,7 @@
 
 
 @dataclass
-class LineState:
+class WaitQueueState:
     """Of callers who wait: `since_ms` by id, and `hope_ms`, when each was told to be served."""
 
     since_ms: dict = field(default_factory=dict)
@@ -78,15 +85,15 @@
     engines: dict = field(default_factory=dict)
     demand: demands.Demand = field(default_factory=demands.Demand)
     plan: PlanState = field(default_factory=PlanState)
-    line: LineState = field(default_factory=LineState)
+    line: WaitQueueState = field(default_factory=WaitQueueState)
     calls: dict = field(default_factory=dict)
     report_count: int = 0
-    watch: attempt_outcomes.Watch = field(default_factory=attempt_outcomes.Watch)
+    watch: attempt_outcomes.OutcomeHistory = field(default_factory=attempt_outcomes.OutcomeHistory)
     notes: list = field(default_factory=list)
     summary_ms: float = float("-inf")
 
 
-def log(p, record, then=None):
+def append_record(p, record, then=None):
     """Apply a record to our own ledger and append it; `then` waits for DURABLE."""
     ledgers.apply(p.ledger, record)
     shard_log.append(p.held, record, then)
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -13,9 +13,9 @@
 from placement import ledger as ledgers
 from placement import registry_view
 from placement.attempt_outcomes import Outcomes, Suspicion
-from placement.state import log
+from placement.state import append_record
 
-__all__ = ["due", "tell"]
+__all__ = ["update_suspects", "record_outcomes"]
 
 # So many bad ends, and at least this share of all ends that were told, make a suspect.
 _LEAST_BAD = 3.0
@@ -27,14 +27,14 @@
 _LONGEST_TIMES = 4
 
 
-def tell(watch, now_ms, told, fade_ms):
+def record_outcomes(watch, now_ms, told, fade_ms):
     """A router's word: {engine: (good, bad, late)}, how many attempts ended so."""
     for engine, (good, bad, late) in told.items():
         outcomes = watch.outcomes.setdefault(engine, Outcomes(at_ms=now_ms))
         outcomes.add(now_ms, fade_ms, good, bad, late)
 
 
-def due(placer, now_ms, registry, shards, terms):
+def update_suspects(placer, now_ms, registry, shards, terms):
     """Log who is suspect from now on, and who is tried again."""
     for name in registry_view.services_of(registry, placer.shard, shards):
         engines = [engine["name"] for engine in registry_view.engines_of(registry, name)]
@@ -52,7 +52,7 @@
         known = watch.suspicions.setdefault(engine, Suspicion(now_ms + terms.dark_ms, 1))
         if now_ms >= known.until_ms:
             watch.outcomes.pop(engine, None)
-            log(placer, ledgers.cleared_record(engine))
+            append_record(placer, ledgers.cleared_record(engine))
 
 
 def _suspect(placer, now_ms, engines, terms):
@@ -67,7 +67,7 @@
         again = before is not None and now_ms - before.until_ms < 4 * terms.dark_ms
         times = min(_LONGEST_TIMES, 2 * before.times) if again else 1
         placer.watch.suspicions[engine] = Suspicion(now_ms + times * terms.dark_ms, times)
-        log(placer, ledgers.suspect_record(engine))
+        append_record(placer, ledgers.suspect_record(engine))
         suspects += 1
 
 
@@ -88,4 +88,4 @@
         for engine in [name for name in known if name not in registry.engines]:
             del known[engine]
     for engine in [name for name in placer.ledger.suspects if name not in registry.engines]:
-        log(placer, ledgers.cleared_record(engine))
+        append_record(placer, ledgers.cleared_record(engine))
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -3,12 +3,12 @@
 from collections import Counter
 
 from placement import eviction, registry_view
-from placement.demand_view import claim
+from placement.demand_view import priority
 
-__all__ = ["of"]
+__all__ = ["summarize"]
 
 
-def of(view):
+def summarize(view):
     """Facts for the log: callers and models that are waited for, the longest wait in ms,
     and for those that are neither up nor on their way what holds them up at most engines."""
     callers = [since_ms for found in view.waiting.values() for since_ms, _ in found]
@@ -29,7 +29,7 @@
 
 
 def _held_up_by(view, model):
-    size = registry_view.size_of(view.registry, model)
+    size = registry_view.item_size(view.registry, model)
     if size is None:
         return "unknown"
     reasons = Counter(_reason(view, model, size[0], name) for name in view.engines)
@@ -42,7 +42,7 @@
         return "engine kept for another"
     if name not in view.idle:
         return "engine busy"
-    pushed = eviction.pushed_out(view, name, model, size_mb)
+    pushed = eviction.eviction_for(view, name, model, size_mb)
     if pushed is None:
         return "nothing may give way"
-    return "worth less" if pushed[0] > claim(view, model) else "store"
+    return "worth less" if pushed[0] > priority(view, model) else "store"
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -208,7 +208,7 @@
 
 def terms(config):
     back_ms = config.bounds.serviceBackMs
-    return dispatching.Terms(
+    return dispatching.PlacerSettings(
         call_ms=0.08 * back_ms,
         report_ms=0.15 * config.bounds.leavingMs,
         dark_ms=config.bounds.leavingMs,
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -51,7 +51,7 @@
     config: configs.Config
     peers: peer_table.PeerTable
     follow: follows.Follow
-    floor: cluster_state.Floor
+    floor: cluster_state.ClusterState
     owners: shard_ownership.ShardOwnership
     router: router.Router
     operator: operator_requests.OperatorRequests
@@ -90,7 +90,7 @@
             card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
         ),
         follows.Follow(),
-        cluster_state.Floor(config.shards, config.zones, reader),
+        cluster_state.ClusterState(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing(config)),
         operator_requests.OperatorRequests(),
@@ -207,7 +207,7 @@
 
 
 def _news(node, now_ms, news):
-    if not cluster_state.on_news(node.floor, node.follow.state, news):
+    if not cluster_state.apply_update(node.floor, node.follow.state, news):
         return []
     return _wake(node, now_ms)
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -42,7 +42,9 @@
     epoch: int
     held: shard_log.ShardLog
     registry: registries.Registry
-    roster: engine_list_polling.Roster = field(default_factory=engine_list_polling.Roster)
+    roster: engine_list_polling.EngineListPoll = field(
+        default_factory=engine_list_polling.EngineListPoll
+    )
 
 
 @dataclass
@@ -136,7 +138,7 @@
         kept.registry = registries.load(kept.held.checkpoint, ownership.zones, ownership.reader)
         registries.replay(kept.registry, kept.held.records)
     else:
-        placer.taken_over(kept, now_ms, terms)
+        placer.on_taken_over(kept, now_ms, terms)
     kept.held.checkpoint, kept.held.records = b"", []
     facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
     return effects + [Note("recovered", facts, True)]
@@ -208,7 +210,7 @@
     ):
         return [Reply(token, failures.NoHolder(1000, shard))]
     if shard != 0:
-        return placer.command(kept, now_ms, token, verb, body, floor.registry, terms)
+        return placer.on_command(kept, now_ms, token, verb, body, floor.registry, terms)
     try:
         record, answer, failure = registries.decide(kept.registry, verb, body)
     except Exception as failed:
--- a/libs/routing/src/routing/engine_lives.py
+++ b/libs/routing/src/routing/engine_lives.py
@@ -20,7 +20,7 @@
         return
     names = _touched(r, floor)
     r.noticed_changes = floor.changes
-    for engine in cluster_state.servable(floor, names):
+    for engine in cluster_state.serving_engines(floor, names):
         choice.notice(r, now_ms, engine["name"], cluster_state.incarnation(floor, engine))
     if names is not None:
         return
--- a/libs/routing/src/routing/final_answers.py
+++ b/libs/routing/src/routing/final_answers.py
@@ -40,7 +40,7 @@
     item = item_name(task.model, task.adapter)
     if task.told and not item:
         return None
-    if registry_view.size_of(floor.registry, item):
+    if registry_view.item_size(floor.registry, item):
         return None
     if task.told:
         return failures.NoRoom(_UNLISTED_RETRY_MS, item, "unlisted")
--- a/libs/routing/src/routing/refusal_notes.py
+++ b/libs/routing/src/routing/refusal_notes.py
@@ -66,7 +66,7 @@
         "engine": name,
         "usable": registry_view.usable(floor.registry, engine),
         "suspect": name in ledger.suspects,
-        "has": not item or ledgers.loaded(ledger, name, item),
+        "has": not item or ledgers.is_loaded(ledger, name, item),
         "entry": f"{entry['verb']} {entry['state']}" if entry else None,
         "busy": router.busy.get(name, 0),
         "limit": choice.limit(router, now_ms, engine, crew, task.rank, service) if crew else None,
--- a/libs/routing/src/routing/waiting_line.py
+++ b/libs/routing/src/routing/waiting_line.py
@@ -98,7 +98,7 @@
     """How long a task may wait for what an engine is loading already."""
     ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
     item = item_name(task.model, task.adapter)
-    if not task.told or not ledgers.coming(ledger, {task.model, item}):
+    if not task.told or not ledgers.is_loading(ledger, {task.model, item}):
         return task.give_up_ms
     coming_ms = task.since_ms + _WHILE_COMING * (task.end_ms - task.since_ms)
     return min(coming_ms, _leaves_ms(task, _IN_PATIENCE_WHILE_COMING))
--- a/libs/simulation/src/simulation/engine_orders/report.py
+++ b/libs/simulation/src/simulation/engine_orders/report.py
@@ -75,7 +75,7 @@
 
 def _one_poll_id(placer_, now_ms, engine):
     poll = engine_view.Poll(f"report:{engine}", now_ms)
-    engine_view.poll_made(engine_view.view_of(placer_, engine), poll)
+    engine_view.poll_sent(engine_view.view_of(placer_, engine), poll)
     return poll
 
 
@@ -83,31 +83,31 @@
     return view.report is not None
 
 
-_REAL_ANSWERED = engine_calls._answered
-_REAL_READ = engine_reports._read
+_REAL_ANSWERED = engine_calls._proven_state
+_REAL_READ = engine_reports._parse
 
 MUTANTS = (
     Mutant(
         "a count is learned beside what an unsent order hides",
         "unsent",
-        ((engine_reports, "_hidden", lambda *args: False),),
+        ((engine_reports, "_hides_open_order", lambda *args: False),),
     ),
     Mutant(
         "any success is taken for the unload's own",
         "strangers",
-        ((engine_calls, "_answered", _any_success_unloads),),
+        ((engine_calls, "_proven_state", _any_success_unloads),),
     ),
     Mutant(
         "a busy engine's report is believed",
         "unsent",
-        ((engine_reports, "_read", _never_busy),),
+        ((engine_reports, "_parse", _never_busy),),
     ),
     Mutant(
         "one report without an item takes it away",
         "uncounted",
-        ((engine_reports, "_missing_again", lambda *args: True),),
+        ((engine_reports, "_confirmed_missing", lambda *args: True),),
     ),
-    Mutant("calls for reports share an id", "uncounted", ((placer, "poll_of", _one_poll_id),)),
+    Mutant("calls for reports share an id", "uncounted", ((placer, "new_poll", _one_poll_id),)),
     Mutant(
         "orders name no count",
         "unsent",
@@ -121,17 +121,17 @@
     Mutant(
         "what is on its way to a new life is forgotten",
         "restart",
-        ((engine_reports, "_on_their_way", lambda *args: set()),),
+        ((engine_reports, "_orders_in_flight", lambda *args: set()),),
     ),
     Mutant(
         "the room is worked out with the sizes of the order's time",
         "grows",
-        ((placer, "_still_fits", lambda *args: True),),
+        ((placer, "_fits_current_sizes", lambda *args: True),),
     ),
     Mutant(
         "what was found shrinks with the configuration",
         "shrinks",
-        ((engine_reports, "_never_sized", lambda entry: entry is not None and not entry["order"]),),
+        ((engine_reports, "_lacks_size", lambda entry: entry is not None and not entry["order"]),),
     ),
 )
 
--- a/libs/simulation/src/simulation/engine_orders/steps.py
+++ b/libs/simulation/src/simulation/engine_orders/steps.py
@@ -61,10 +61,10 @@
 
 def _fits(state, item):
     model = item.partition("/")[0]
-    if item != model and not ledgers.loaded(state.placer.ledger, ENGINE, model):
+    if item != model and not ledgers.is_loaded(state.placer.ledger, ENGINE, model):
         return False
     used_mb, used_places = registry_view.charged(state.registry, state.placer.ledger, ENGINE)
-    size_mb, places, _ = registry_view.size_of(state.registry, item)
+    size_mb, places, _ = registry_view.item_size(state.registry, item)
     return (
         used_mb + size_mb <= state.settings.room_mb
         and used_places + places <= state.settings.places
@@ -135,11 +135,11 @@
 
 def _give(verb):
     def give(state, item):
-        size_mb, places, _ = registry_view.size_of(state.registry, item)
+        size_mb, places, _ = registry_view.item_size(state.registry, item)
         if verb == "unload":
             entry = state.entries()[item]
             size_mb, places = entry["mb"], entry["places"]
-        orders.give(state.placer, ENGINE, item, verb, size_mb, places, SERVICE)
+        orders.give_order(state.placer, ENGINE, item, verb, size_mb, places, SERVICE)
         held = state.placer.held
         state.staged += [then for _, then in held.waiting]
         held.waiting = []
@@ -167,7 +167,7 @@
     for call in effects:
         if not isinstance(call, Call):
             continue
-        size_mb, places, _ = registry_view.size_of(state.registry, call.body["item"])
+        size_mb, places, _ = registry_view.item_size(state.registry, call.body["item"])
         state.flying.append(
             truth.Message(
                 call.id.split("|", 2)[2],
@@ -226,12 +226,14 @@
 def _again(state, _detail):
     _fly(
         state,
-        engine_calls.due(state.placer, state.now_ms, state.registry, SERVICE, TERMS, _LEASE_MS),
+        engine_calls.repeats_due(
+            state.placer, state.now_ms, state.registry, SERVICE, TERMS, _LEASE_MS
+        ),
     )
 
 
 def _ask(state, _detail):
-    poll = placer.poll_of(state.placer, state.now_ms, ENGINE)
+    poll = placer.new_poll(state.placer, state.now_ms, ENGINE)
     facts = state.registry.engines[ENGINE]
     engine_calls.call(state.placer, state.now_ms, poll.id, "report", facts, {}, TERMS, "", "")
     state.asked.append(Asked(poll.id))
@@ -268,7 +270,7 @@
     known = old.ledger if detail == "as logged" else state.durable
     state.placer = new_holder(old.epoch + 1)
     state.placer.held.checkpoint = ledgers.dump(known)
-    placer.taken_over(state.placer, state.now_ms, TERMS)
+    placer.on_taken_over(state.placer, state.now_ms, TERMS)
     state.placer.held.checkpoint = b""
     state.placer.not_before_ms = state.now_ms
     state.durable = fork(state.placer.ledger)
--- a/libs/simulation/src/simulation/engine_orders/world.py
+++ b/libs/simulation/src/simulation/engine_orders/world.py
@@ -175,7 +175,7 @@
     """A holder that knows nothing yet, and an engine that holds what it starts with."""
     registries = (registry_of(settings, False), registry_of(settings, True))
     held = tuple(
-        (item, registry_view.size_of(registries[0], item)[:2]) for item in sorted(settings.held)
+        (item, registry_view.item_size(registries[0], item)[:2]) for item in sorted(settings.held)
     )
     engine = truth.TrueEngine(settings.room_mb, settings.places, held, counts=settings.counts)
     holder = new_holder(1)
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -116,11 +116,11 @@
 
 def _forgotten_demand():
     """Nobody remembers what is asked for, and nobody may wait for it."""
-    demand.tell = lambda *asked: None
+    demand.record_requests = lambda *asked: None
     from placement import demand_planner
 
-    demand_planner.tell = lambda *told: None
-    placer._hold = lambda p, now_ms, token, body, registry, terms: [
+    demand_planner.record_requests = lambda *told: None
+    placer._on_hold = lambda p, now_ms, token, body, registry, terms: [
         Reply(token, failures.NoRoom(1000, body["model"], "forgotten"))
     ]
 
--- a/libs/simulation/src/simulation/mutants_of_placement.py
+++ b/libs/simulation/src/simulation/mutants_of_placement.py
@@ -52,7 +52,11 @@
                     i: {"state": "loaded", "mb": 0, "places": 0, "sized": True} for i in items
                 },
             ),
-            (registry_view, "charge_of", lambda reg, item, entry: (entry["mb"], entry["places"])),
+            (
+                registry_view,
+                "entry_charge",
+                lambda reg, item, entry: (entry["mb"], entry["places"]),
+            ),
         ],
         seeds=(2, 8),
     ),
@@ -68,7 +72,7 @@
         "unmet wishes not told",
         "partners",
         lambda d: [step(1000, "race")],
-        lambda: [(orders, "_tell_unmet", lambda *a: None)],
+        lambda: [(orders, "_log_unmet", lambda *a: None)],
         seeds=(2,),
         size="zatacka",
     ),
--- a/libs/simulation/src/simulation/mutants_of_requests.py
+++ b/libs/simulation/src/simulation/mutants_of_requests.py
@@ -70,8 +70,8 @@
             [step(1000, "engines-all", "", 500)] + [step(1600 + 300 * i, "burst") for i in range(4)]
         ),
         lambda: [
-            (load_queue, "give_up", lambda *a: None),
-            (load_queue, "estimate", lambda *a: None),
+            (load_queue, "reject_unservable", lambda *a: None),
+            (load_queue, "estimate_wait", lambda *a: None),
         ],
         seeds=(2,),
         size="byggesag",
--- a/libs/simulation/src/simulation/placing.py
+++ b/libs/simulation/src/simulation/placing.py
@@ -12,7 +12,9 @@
 
 __all__ = ["TERMS", "Late", "PlainEngine", "Scene", "Stale", "engine_facts"]
 
-TERMS = state.Terms(call_ms=960.0, report_ms=450.0, dark_ms=3000.0, turnMs=0.0, lagMs=300.0)
+TERMS = state.PlacerSettings(
+    call_ms=960.0, report_ms=450.0, dark_ms=3000.0, turnMs=0.0, lagMs=300.0
+)
 SHARDS = 4
 _TICK_MS = 40.0
 _REPORT_LAG_MS = TERMS.lagMs - _TICK_MS
@@ -159,7 +161,7 @@
         self.durable()
 
     def command(self, verb, body):
-        self._do(placer.command(self.p, self.now_ms, "t", verb, body, self.registry, TERMS))
+        self._do(placer.on_command(self.p, self.now_ms, "t", verb, body, self.registry, TERMS))
         self.durable()
 
     def durable(self):
--- a/libs/simulation/src/simulation/sim/limits.py
+++ b/libs/simulation/src/simulation/sim/limits.py
@@ -163,7 +163,7 @@
         item = placement.item_name(wish.model, wish.adapter)
         has = sum(item in items for items in here.values())
         told = run.final_unmet.get(wish.id)
-        if has >= wish.copies or wish.yields >= placement.LAST:
+        if has >= wish.copies or wish.yields >= placement.BEST_EFFORT:
             continue
         if told is None and run.settled:
             found.append(("not-shown", {"wish": wish.id, "has": has, "wants": wish.copies}))
--- a/libs/simulation/src/simulation/sim/operators.py
+++ b/libs/simulation/src/simulation/sim/operators.py
@@ -257,8 +257,8 @@
         leader = self.leader()
         if leader is None:
             return {}
-        floor_ = cluster_state.Floor(8)
-        cluster_state.on_news(
+        floor_ = cluster_state.ClusterState(8)
+        cluster_state.apply_update(
             floor_,
             self.world.hosts[leader].node.depot.group.state,
             follower.News(rebuilt=True),
--- a/libs/simulation/src/simulation/sim/warm.py
+++ b/libs/simulation/src/simulation/sim/warm.py
@@ -37,5 +37,5 @@
     for engine, targets in made.targets.items():
         core = run.world.engines[engine].core
         for item in targets:
-            mb, places, _ = registry_view.size_of(registry, item)
+            mb, places, _ = registry_view.item_size(registry, item)
             core.items[item], core.sizes[item] = "loaded", (mb, places)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -69,7 +69,7 @@
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
             follow=follower.Follow(current_ms=NOW_MS - age_ms),
-            floor=cluster_state.Floor(SHARDS, registry=registry),
+            floor=cluster_state.ClusterState(SHARDS, registry=registry),
             router=router.Router(TERMS),
             times=SimpleNamespace(elect_ms=300.0),
         )
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -10,19 +10,19 @@
     def test_it_adds_up_fades_slowly_and_is_paid_at_once(self):
         d = demand.Demand()
         for n in range(5):
-            demand.owe(d, 4000.0 * n, "s", "m")
-        self.assertThat(demand.owed(d, 16000.0, "m"), GreaterThan(3.5))
-        self.assertThat(demand.owed(d, 16000.0, "m"), LessThan(5.0))
-        self.assertThat(demand.owed(d, 1e7, "m"), LessThan(0.001))
-        demand.pay(d, "m")
-        self.assertThat(demand.owed(d, 16000.0, "m"), Equals(0.0))
+            demand.record_unserved(d, 4000.0 * n, "s", "m")
+        self.assertThat(demand.unserved(d, 16000.0, "m"), GreaterThan(3.5))
+        self.assertThat(demand.unserved(d, 16000.0, "m"), LessThan(5.0))
+        self.assertThat(demand.unserved(d, 1e7, "m"), LessThan(0.001))
+        demand.clear_unserved(d, "m")
+        self.assertThat(demand.unserved(d, 16000.0, "m"), Equals(0.0))
 
 
 class Run(TestCase):
     def learned(self, running, asked, seconds=60, start_s=0.6):
         d = demand.Demand(run_s=start_s)
         for n in range(seconds * 10):
-            demand.learn_run(d, 100.0 * n, running, asked)
+            demand.learn_request_time(d, 100.0 * n, running, asked)
         return d.run_s
 
     def test_it_is_what_runs_by_what_is_asked(self):
@@ -32,8 +32,8 @@
     def test_few_askings_and_single_values_teach_little(self):
         self.assertThat(self.learned(50, 1.0), Equals(0.6))
         d = demand.Demand()
-        demand.learn_run(d, 0.0, 20, 100.0)
-        demand.learn_run(d, 10.0, 400, 100.0)
+        demand.learn_request_time(d, 0.0, 20, 100.0)
+        demand.learn_request_time(d, 10.0, 400, 100.0)
         self.assertThat(d.run_s, LessThan(0.65))
 
     def test_it_stays_within_bounds(self):
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engines_noticed.py
@@ -88,7 +88,7 @@
 
 
 def new_floor():
-    floor = cluster_state.Floor(SHARDS, ("z",))
+    floor = cluster_state.ClusterState(SHARDS, ("z",))
     owner = {"wishes": {}, "routes": {}, "models": {}}
     of_services = {"plain": {}, "models": {"warmPerS": 5.0, "warmMs": 400.0}}
     floor.registry = registries.Registry(sections={"p": {**owner, "services": of_services}})
@@ -108,7 +108,7 @@
         now_ms = 250.0 * number
         if kind == "news":
             sections = tuple(_Section(shard, record) for shard, record in told)
-            cluster_state.on_news(floor, None, News(sections))
+            cluster_state.apply_update(floor, None, News(sections))
         elif kind == "broke":
             choice.broke(sparing, now_ms, told)
             choice.broke(looking, now_ms, told)
@@ -125,9 +125,9 @@
     floor, crew = new_floor(), Crew("c", ("c",))
     sparing, looking = router.Router(TERMS), router.Router(TERMS)
     announced = tuple(_Section(*engine_record(name, "join", "models", 0)) for name in NAMES)
-    cluster_state.on_news(floor, None, News(announced))
+    cluster_state.apply_update(floor, None, News(announced))
     for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *taken]):
-        cluster_state.on_news(floor, None, News((_Section(*told),)))
+        cluster_state.apply_update(floor, None, News((_Section(*told),)))
         if looks:
             looking.noticed_changes = -1
             router.wake(sparing, 250.0 * number, floor, 0.0, crew)
--- a/tests/test_engines_with.py
+++ b/tests/test_engines_with.py
@@ -29,7 +29,7 @@
 
 
 def floor_of(fleet, evacuated):
-    floor = cluster_state.Floor(SHARDS, ZONES)
+    floor = cluster_state.ClusterState(SHARDS, ZONES)
     floor.registry = registries.Registry(zones={zone: 1 for zone in evacuated})
     for name, told in fleet.items():
         ledger = cluster_state.ledger_of(floor, registry_view.shard_of(told["service"], SHARDS))
@@ -47,7 +47,7 @@
         engine = floor.registry.engines[name]
         if engine["service"] != service or not registry_view.usable(floor.registry, engine):
             continue
-        if not item or ledgers.loaded(ledger, name, item):
+        if not item or ledgers.is_loaded(ledger, name, item):
             found.append(engine)
     sound = [engine for engine in found if engine["name"] not in ledger.suspects]
     return found if not sound and not item else sound
--- a/tests/test_lost_models.py
+++ b/tests/test_lost_models.py
@@ -22,9 +22,9 @@
         (model,) = engine.items
         for _ in range(100 + phase):
             floor.step()
-        self.assertThat(ledger.loaded(floor.scene.p.ledger, "e0", model), Equals(True))
+        self.assertThat(ledger.is_loaded(floor.scene.p.ledger, "e0", model), Equals(True))
         engine.items, start_ms = set(), floor.scene.now_ms
-        while ledger.loaded(floor.scene.p.ledger, "e0", model):
+        while ledger.is_loaded(floor.scene.p.ledger, "e0", model):
             floor.step()
         return floor.scene.now_ms - start_ms
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-TERMS = state.Terms(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
+TERMS = state.PlacerSettings(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
 
 
 class Moves(TestCase):
@@ -67,7 +67,7 @@
         registry.apply(self.reg, record)
 
     def hold(self, engine, items):
-        state.log(
+        state.append_record(
             self.p,
             ledger.found_record(
                 engine, "i", {i: {"state": "loaded", "mb": 20, "places": 0} for i in items}, "g"
@@ -86,7 +86,7 @@
 
     def loaded(self, engine, item):
         entry = self.p.ledger.engines[engine][item]
-        state.log(self.p, ledger.state_record(engine, item, entry["order"], "loaded"))
+        state.append_record(self.p, ledger.state_record(engine, item, entry["order"], "loaded"))
 
     def test_make_before_break(self):
         self.floor((20, 40), {"a": "y", "b": "y", "c": "x"})
--- a/tests/test_order_counts.py
+++ b/tests/test_order_counts.py
@@ -59,7 +59,7 @@
 
     def test_doubt_lasts_until_a_later_report_of_an_idle_engine(self):
         self.read(report(4, 90.0))
-        engine_view.doubt_count(self.view, 120.0)
+        engine_view.invalidate_count(self.view, 120.0)
         self.assertThat(self.state(), Equals((False, None)))
         self.assertTrue(self.outdated(report(4, 120.0)))
         self.assertFalse(self.outdated(report(5, 121.0)))
@@ -70,8 +70,8 @@
 
     def test_a_new_engine_under_the_name_is_unknown(self):
         self.read(report(4, 90.0))
-        engine_view.doubt_count(self.view, 120.0)
-        engine_view.new_life(self.view)
+        engine_view.invalidate_count(self.view, 120.0)
+        engine_view.engine_restarted(self.view)
         self.assertFalse(self.outdated(report(0, 95.0)))
         self.assertThat(self.state()[1], Equals(None))
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,7 +2,7 @@
 
 import random
 
-from placement.placement import LAST, Engine, Wish, item_name, place
+from placement.placement import BEST_EFFORT, Engine, Wish, item_name, place
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
@@ -82,7 +82,7 @@
                 adapter,
                 1 if late else rng.randrange(4),
                 tuple(rng.sample(zones, rng.choice([0, 0, 1, 2]))),
-                LAST + number if late else rng.choice([10, 20, 30]),
+                BEST_EFFORT + number if late else rng.choice([10, 20, 30]),
                 models[model],
                 1 if adapter else 0,
             )
@@ -109,7 +109,7 @@
             for own, ids in ((True, [t[3] for t in turns]), (False, late)):
                 for id_ in list(ids):
                     w = by_id[id_]
-                    best = None if own and w.yields >= LAST else turn(w, own)
+                    best = None if own and w.yields >= BEST_EFFORT else turn(w, own)
                     if best is None:
                         if own:
                             late.append(id_)
@@ -121,7 +121,7 @@
             for w in wishes:
                 short = w.copies - len(placed[w.id])
                 told = made.unmet.get(w.id)
-                if w.yields < LAST:
+                if w.yields < BEST_EFFORT:
                     self.assertThat(
                         told["wanted"] - told["placed"] if told else 0,
                         Equals(short),
@@ -153,7 +153,7 @@
         """Fed its own result, it settles: no moves back and forth."""
         for seed in range(600, 800):
             engines, wishes, shares, _ = floor(random.Random(seed))
-            wishes = [w for w in wishes if w.yields < LAST]
+            wishes = [w for w in wishes if w.yields < BEST_EFFORT]
             present, rounds = {}, []
             for _ in range(5):
                 made = place(engines, wishes, shares, present)
--- a/tests/test_places_given_back.py
+++ b/tests/test_places_given_back.py
@@ -148,4 +148,4 @@
         self.comes()
         self.assertThat(len(self.out), Equals(1), f"seed {seed}")
         self.assertThat(len(self.router.tasks), Equals(1), f"seed {seed}")
-        self.assertThat(ledger.loaded(self.ledger, "e0", self.model), Equals(True))
+        self.assertThat(ledger.is_loaded(self.ledger, "e0", self.model), Equals(True))
--- a/tests/test_platform_again.py
+++ b/tests/test_platform_again.py
@@ -31,7 +31,7 @@
         registries.apply(self.registry, record)
         self.registry.engines["e0"] = self.facts = engine_facts("e0", self.service)
         self.model = whole["services"][0]["engine"]["parcels"][0]["name"]
-        self.size_mb = registry_view.size_of(self.registry, self.model)[0]
+        self.size_mb = registry_view.item_size(self.registry, self.model)[0]
         self.p = state.Placer(1, 1, ShardLog(1, 1, ready=True))
         self.p.not_before_ms, self.now_ms, self.calls = 0.0, 1000.0, []
         self.report(["other"], at=900.0)
@@ -56,7 +56,7 @@
 
     def give(self, verb="load"):
         """An order given and sent; its id."""
-        orders.give(self.p, "e0", self.model, verb, self.size_mb, 0, self.service)
+        orders.give_order(self.p, "e0", self.model, verb, self.size_mb, 0, self.service)
         self.p.held.waiting, waiting = [], self.p.held.waiting
         (call,) = placer.on_durable(
             self.p, self.now_ms, waiting[-1][1], self.registry, TERMS, ENDS_MS
@@ -85,7 +85,9 @@
     def due(self):
         """The calls that are due; the placer is woken when the next one is, and only
         if there is one to come."""
-        found = engine_calls.due(self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS)
+        found = engine_calls.repeats_due(
+            self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS
+        )
         calls = [e for e in found if isinstance(e, Call)]
         wakes = [e.at_ms for e in found if isinstance(e, Wake)]
         self.assertThat(len(calls) + len(wakes), Equals(len(found)))
@@ -204,7 +206,7 @@
         self.answer(self.give(), 202)
         self.now_ms += 5000
         self.assertThat(
-            engine_calls.due(
+            engine_calls.repeats_due(
                 self.p,
                 self.now_ms,
                 self.registry,
@@ -237,7 +239,7 @@
             ledger.apply(kept, ledger.order_record("e", item, "load", f"o{item}", 1, 0, "s"))
             ledger.apply(kept, ledger.state_record("e", item, f"o{item}", "loaded"))
         ledger.apply(kept, ledger.order_record("e", "m", "unload", "u", 1, 0, "s"))
-        self.assertFalse(ledger.loaded(kept, "e", "m/a1"), "its model is being unloaded")
+        self.assertFalse(ledger.is_loaded(kept, "e", "m/a1"), "its model is being unloaded")
         ledger.apply(kept, ledger.state_record("e", "m", "u", "unloaded"))
         self.assertThat(sorted(kept.engines["e"]), Equals(["n", "n/a1"]))
-        self.assertTrue(ledger.loaded(kept, "e", "n/a1"))
+        self.assertTrue(ledger.is_loaded(kept, "e", "n/a1"))
--- a/tests/test_platform_asked.py
+++ b/tests/test_platform_asked.py
@@ -48,7 +48,7 @@
             ]
             self.items += names
             for item in names:
-                self.sizes[item] = registry_view.size_of(self.registry, item)[:2]
+                self.sizes[item] = registry_view.item_size(self.registry, item)[:2]
         plain = []
         for n in range(engines):
             name = f"e{n}"
@@ -61,7 +61,7 @@
 
     def up(self, item):
         return any(
-            ledger.loaded(self.scene.p.ledger, e, item)
+            ledger.is_loaded(self.scene.p.ledger, e, item)
             for e in self.scene.engines
             if registry_view.usable(self.registry, self.registry.engines[e])
         )
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -96,14 +96,14 @@
 class Engines(TestCase):
     def test_lists(self):
         """What is read of a page can be taken by the roster and the registry."""
-        rng, terms = random.Random(1), dispatching.Terms(100.0, 100.0, 100.0)
+        rng, terms = random.Random(1), dispatching.PlacerSettings(100.0, 100.0, 100.0)
         for _ in range(2000):
             page = spoilt(rng, {"engines": [ENTRY, {**ENTRY, "id": "i-2"}], "nextToken": "p-2"})
             data = json.dumps(page).encode()
             data = torn(rng, data) if rng.random() < 0.3 else data
             found = engines.read_call("list", {"token": ""}, 200, data)
             self.assertIsInstance(found, dict)
-            r, registry = engine_list_polling.Roster(), registries.Registry()
+            r, registry = engine_list_polling.EngineListPoll(), registries.Registry()
             engine_list_polling.tick(r, 1000.0, terms, "http://p", "0|1")
             effects, changed = engine_list_polling.on_called(
                 r, 1001.0, "list:1", Called("", 200, found), registry, terms, "http://p", "0|1"
--- a/tests/test_platform_roster.py
+++ b/tests/test_platform_roster.py
@@ -4,12 +4,12 @@
 
 from configuration import registry as registries
 from placement import engine_list_polling
-from placement.state import Terms
+from placement.state import PlacerSettings
 from testtools import TestCase
 from testtools.matchers import Equals
 from transport.events import Called
 
-TERMS = Terms(call_ms=100.0, report_ms=100.0, dark_ms=1000.0, list_ms=200.0)
+TERMS = PlacerSettings(call_ms=100.0, report_ms=100.0, dark_ms=1000.0, list_ms=200.0)
 
 
 def entry(name, **facts):
@@ -29,7 +29,7 @@
     """A list in pages, its reader, and the registry that its news is logged in."""
 
     def __init__(self):
-        self.roster, self.registry = engine_list_polling.Roster(), registries.Registry()
+        self.roster, self.registry = engine_list_polling.EngineListPoll(), registries.Registry()
         self.engines, self.now_ms, self.pages = [], 1000.0, 1
 
     def round(self, fails=None):
@@ -98,7 +98,7 @@
         self.assertThat(self.names()[0], Equals("e1"))
 
     def test_an_answer_of_an_earlier_round_says_nothing(self):
-        r, registry = engine_list_polling.Roster(), registries.Registry()
+        r, registry = engine_list_polling.EngineListPoll(), registries.Registry()
         (first,) = engine_list_polling.tick(r, 1000.0, TERMS, "http://p", "0|1")
         engine_list_polling.tick(r, 1300.0, TERMS, "http://p", "0|1")
         told = Called(first.id, 200, {"engines": [entry("e0")], "next": None})
@@ -110,7 +110,7 @@
         )
 
     def test_not_sooner_than_it_may(self):
-        r = engine_list_polling.Roster()
+        r = engine_list_polling.EngineListPoll()
         times = [
             ms
             for ms in range(1000, 5000, 10)
@@ -118,7 +118,9 @@
         ]
         self.assertThat({b - a for a, b in zip(times, times[1:])}, Equals({200}))
         self.assertThat(
-            engine_list_polling.tick(engine_list_polling.Roster(), 1000.0, TERMS, "", "0|1"),
+            engine_list_polling.tick(
+                engine_list_polling.EngineListPoll(), 1000.0, TERMS, "", "0|1"
+            ),
             Equals([]),
         )
 
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -104,7 +104,7 @@
             up = [
                 m
                 for m in popular
-                if any(ledger.loaded(floor.scene.p.ledger, e, m) for e in floor.scene.engines)
+                if any(ledger.is_loaded(floor.scene.p.ledger, e, m) for e in floor.scene.engines)
             ]
             self.assertThat(up, Equals(popular))
 
--- a/tests/test_refusal_notes.py
+++ b/tests/test_refusal_notes.py
@@ -33,7 +33,7 @@
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = cluster_state.Floor(SHARDS, reader=configuration.READER)
+        self.floor = cluster_state.ClusterState(SHARDS, reader=configuration.READER)
         self.floor.registry.reader = configuration.READER
         record, _, _ = registries.decide(
             self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
--- a/tests/test_room_changes.py
+++ b/tests/test_room_changes.py
@@ -35,9 +35,9 @@
         return registry_view.charged(self.registry, self.p.ledger, "e0")[0]
 
     def test_a_model_that_grows_or_shrinks_while_it_is_up(self):
-        ordered_mb = registry_view.size_of(self.registry, self.model)[0]
+        ordered_mb = registry_view.item_size(self.registry, self.model)[0]
         before_mb = self.charge()
-        orders.give(self.p, "e0", self.model, "load", ordered_mb, 0, self.service)
+        orders.give_order(self.p, "e0", self.model, "load", ordered_mb, 0, self.service)
         self.assertThat(self.charge(), Equals(before_mb + ordered_mb))
         for told_mb, charged_mb in ((1000 * ordered_mb, 1000 * ordered_mb), (1.0, ordered_mb)):
             self.configure(told_mb)
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -25,7 +25,7 @@
         closing=False,
         config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=10 * STALE_MS)),
         follow=follower.Follow(current_ms=NOW_MS - age_ms),
-        floor=cluster_state.Floor(4, registry=registry),
+        floor=cluster_state.ClusterState(4, registry=registry),
         router=router.Router(terms),
         times=SimpleNamespace(elect_ms=300.0),
     )
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,14 +5,14 @@
 
 from placement import ledger as ledgers
 from placement import registry_view, suspects
-from placement.cluster_state import Floor as RoutingFloor
+from placement.cluster_state import ClusterState as RoutingFloor
 from placement.cluster_state import engines_with
-from placement.state import log
+from placement.state import append_record
 from routing import choice, engine_outcomes, router
 from routing.legs import Ended
 from routing.tasks import Leg
 from simulation.placing import SHARDS, TERMS
-from test_platform_asked import Floor
+from test_platform_asked import ClusterState
 from test_platform_relaying import PLAIN, STREAM, Relayed, data, event, head
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -34,7 +34,7 @@
 
     def setUp(self):
         super().setUp()
-        self.floor = Floor(1, engines=6)
+        self.floor = ClusterState(1, engines=6)
         self.ledger = self.floor.scene.p.ledger
         self.floor.step()
 
@@ -50,7 +50,7 @@
             (8, 3.1, {}),
             (100, 5, {}),
         ):
-            self.floor = Floor(1, engines=6)
+            self.floor = ClusterState(1, engines=6)
             self.floor.step()
             outcomes_of(self.floor, {"e0": (good, bad, 0)})
             self.floor.step()
@@ -59,7 +59,7 @@
     def test_no_answer_counts_only_of_an_engine_that_gives_none(self):
         """One that is overloaded answers some; leaving it out would overload the others."""
         for good, late, expected in ((0, 4, {"e0": True}), (1, 4, {}), (1, 40, {})):
-            self.floor = Floor(1, engines=6)
+            self.floor = ClusterState(1, engines=6)
             self.floor.step()
             outcomes_of(self.floor, {"e0": (good, 0, late)})
             self.floor.step()
@@ -96,7 +96,7 @@
         self.assertThat(self.ledger.suspects, Equals({}))
 
     def test_a_new_holder_tries_them_again_in_time(self):
-        log(self.floor.scene.p, ledgers.suspect_record("e1"))
+        append_record(self.floor.scene.p, ledgers.suspect_record("e1"))
         self.steps(0.8 * TERMS.dark_ms)
         self.assertThat(self.ledger.suspects, Equals({"e1": True}))
         self.steps(0.5 * TERMS.dark_ms)
@@ -109,7 +109,7 @@
 
     def served(self, seed, bad_engine="e0"):
         """{subject: (tries, served)} of twelve seconds."""
-        floor = Floor(seed, engines=4)
+        floor = ClusterState(seed, engines=4)
         scene, rng = floor.scene, random.Random(seed)
         models = [item for item in floor.items if "/" not in item][:1]
         for engine in scene.engines.values():
@@ -154,7 +154,7 @@
 
     def test_without_suspects_some_are_never_served(self):
         """The same run is red if nobody is ever taken for suspect."""
-        self.patch(suspects, "due", lambda *asked: None)
+        self.patch(suspects, "update_suspects", lambda *asked: None)
         self.assertThat(sum(len(self.never(seed)) for seed in SEEDS), GreaterThan(3))
 
     def test_few_are_lost(self):
@@ -167,7 +167,7 @@
 class Placed(TestCase):
     def test_what_a_suspect_holds_comes_up_elsewhere(self):
         for seed in SEEDS:
-            floor = Floor(seed, engines=6)
+            floor = ClusterState(seed, engines=6)
             for _ in range(20):
                 floor.step()
             only = [i for i in floor.scene.engines["e0"].items if "/" not in i][0]
@@ -196,7 +196,7 @@
             self.assertThat("e0" in names, Equals(False))
 
     def test_a_plain_service_is_never_left_without_engines(self):
-        floor = Floor(2)
+        floor = ClusterState(2)
         routes = RoutingFloor(SHARDS, registry=floor.registry)
         ledger = routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
         for name in floor.scene.engines:
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -197,7 +197,7 @@
     def setUp(self):
         super().setUp()
         section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
-        self.floor = cluster_state.Floor(
+        self.floor = cluster_state.ClusterState(
             SHARDS,
             registry=Registry(
                 sections={"floor": section},
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -108,29 +108,29 @@
         p = state.Placer(1, 1, shard_log.ShardLog(1, 1, ready=True), not_before_ms=0.0)
         told = {"incarnation": "old", "roomMb": 10, "adapterPlaces": 0, "items": {}}
         engine_reports.on_report(p, 1.0, "e0", told, 0.0, reg)
-        state.log(p, ledger.order_record("e0", "m", "load", "1.1.1", 5, 0, "g"))
+        state.append_record(p, ledger.order_record("e0", "m", "load", "1.1.1", 5, 0, "g"))
         engine_view.order_sent(p.engines["e0"], "1.1.1")
         engine_reports.on_report(p, 3.0, "e0", {**told, "incarnation": "new"}, 1.5, reg)
-        self.assertThat(ledger.loads_out(p.ledger, "g"), Equals(1))
+        self.assertThat(ledger.open_loads(p.ledger, "g"), Equals(1))
         engine_view.call_ended(p.engines["e0"], 4.0, "1.1.1")
-        state.log(p, ledger.state_record("e0", "m", "1.1.1", "taken"))
+        state.append_record(p, ledger.state_record("e0", "m", "1.1.1", "taken"))
         engine_reports.on_report(p, 6.0, "e0", {**told, "incarnation": "new"}, 5.0, reg)
-        self.assertThat(ledger.loads_out(p.ledger, "g"), Equals(0))
+        self.assertThat(ledger.open_loads(p.ledger, "g"), Equals(0))
 
     def test_a_gone_engines_load_still_counts_for_a_while(self):
         """Taken off the list while it loads: the store may still be serving it."""
-        terms = state.Terms(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
+        terms = state.PlacerSettings(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
         p = state.Placer(1, 1, shard_log.ShardLog(1, 1, ready=True))
-        state.log(p, ledger.found_record("e0", "i", {}, "g"))
-        state.log(p, ledger.order_record("e0", "m", "load", "1.1.1", 5, 0, "g"))
+        state.append_record(p, ledger.found_record("e0", "i", {}, "g"))
+        state.append_record(p, ledger.order_record("e0", "m", "load", "1.1.1", 5, 0, "g"))
         loads = {"atOnce": 1, "perMinute": 60}
         self.assertFalse(orders.store_allows(p, 0.0, "g", loads))
-        placer._drop_gone(p, 0.0, registry.Registry(), terms)
+        placer._drop_gone_engines(p, 0.0, registry.Registry(), terms)
         self.assertThat(p.ledger.engines, Equals({}))
         self.assertFalse(orders.store_allows(p, 2900.0, "g", loads))
         again = state.Placer(
             1, 2, shard_log.ShardLog(1, 2, ready=True), ledger=ledger.load(ledger.dump(p.ledger))
         )
         self.assertFalse(orders.store_allows(again, 9e6, "g", loads), "a takeover counts it")
-        placer._drop_gone(p, 3100.0, registry.Registry(), terms)
+        placer._drop_gone_engines(p, 3100.0, registry.Registry(), terms)
         self.assertTrue(orders.store_allows(p, 3100.0, "g", loads))
