--- a/libs/placement/src/placement/attempt_outcomes.py
+++ b/libs/placement/src/placement/attempt_outcomes.py
@@ -12,15 +12,15 @@
 
     good: float = 0.0
     bad: float = 0.0
-    late: float = 0.0
+    unanswered: float = 0.0
     at_ms: float = 0.0
 
-    def add(self, now_ms, fade_ms, good=0.0, bad=0.0, late=0.0):
+    def add(self, now_ms, fade_ms, good=0.0, bad=0.0, unanswered=0.0):
         """Count ends that were seen just now."""
         kept = math.exp(-max(0.0, now_ms - self.at_ms) / fade_ms)
         self.good = self.good * kept + good
         self.bad = self.bad * kept + bad
-        self.late = self.late * kept + late
+        self.unanswered = self.unanswered * kept + unanswered
         self.at_ms = now_ms
 
 
@@ -29,7 +29,7 @@
     """Until when an engine is left out, and for how many times the shortest while."""
 
     until_ms: float
-    times: int
+    backoff_factor: int
 
 
 @dataclass
--- a/libs/placement/src/placement/cluster_state.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -43,55 +43,55 @@
     registry: registries.Registry = field(default_factory=registries.Registry)
     ledgers: dict = field(default_factory=dict)
     changes: int = 0
-    ledger_news: LedgerChange | None = None
+    ledger_change: LedgerChange | None = None
 
 
-def apply_update(floor, book, news):
+def apply_update(state, log_state, update):
     """Apply a follower's news; True if anything that routing looks at changed."""
-    floor.changes += news.rebuilt or bool(news.sections)
-    floor.ledger_news = None
-    if news.rebuilt:
-        _rebuild(floor, book)
+    state.changes += update.rebuilt or bool(update.sections)
+    state.ledger_change = None
+    if update.rebuilt:
+        _rebuild(state, log_state)
         return True
     changes, engines = [], set()
-    for section in news.sections:
+    for section in update.sections:
         if section.kind != state_machine.RECORDS:
             continue
         if section.shard == 0:
             changes += section.records
         for record in section.records if section.shard else ():
-            engines.add(ledgers.apply(ledger_of(floor, section.shard), record))
+            engines.add(ledgers.apply(ledger_of(state, section.shard), record))
     if not changes:
-        floor.ledger_news = LedgerChange(floor.changes, frozenset(engines - {None}))
-    registries.replay(floor.registry, changes)
-    return bool(news.sections)
+        state.ledger_change = LedgerChange(state.changes, frozenset(engines - {None}))
+    registries.replay(state.registry, changes)
+    return bool(update.sections)
 
 
-def _rebuild(floor, book):
-    floor.registry = registries.Registry(zonesKnown=floor.zones, reader=floor.reader)
-    floor.ledgers = {}
-    for shard, part in book.shards.items():
+def _rebuild(state, log_state):
+    state.registry = registries.Registry(zonesKnown=state.zones, reader=state.reader)
+    state.ledgers = {}
+    for shard, part in log_state.shards.items():
         if shard == 0:
-            floor.registry = registries.load(part.checkpoint, floor.zones, floor.reader)
-            registries.replay(floor.registry, part.records)
+            state.registry = registries.load(part.checkpoint, state.zones, state.reader)
+            registries.replay(state.registry, part.records)
         else:
-            floor.ledgers[shard] = ledgers.load(part.checkpoint)
+            state.ledgers[shard] = ledgers.load(part.checkpoint)
             for record in part.records:
-                ledgers.apply(floor.ledgers[shard], record)
+                ledgers.apply(state.ledgers[shard], record)
 
 
-def ledger_of(floor, shard):
-    found = floor.ledgers.get(shard)
+def ledger_of(state, shard):
+    found = state.ledgers.get(shard)
     if found is None:
-        found = floor.ledgers[shard] = ledgers.Ledger()
+        found = state.ledgers[shard] = ledgers.Ledger()
     return found
 
 
-def engines_with(floor, service, item):
+def engines_with(state, service, item):
     """Engines that may be given new work for an item (any, for a plain service): none that
     is suspect, unless that leaves a plain service without any."""
-    ledger = ledger_of(floor, registry_view.shard_of(service, floor.shards))
-    engines = floor.registry.engines
+    ledger = ledger_of(state, registry_view.shard_of(service, state.shards))
+    engines = state.registry.engines
     named = [name for name, e in engines.items() if e["service"] == service]
     if item:
         held = ledger.engines
@@ -99,19 +99,19 @@
     found = [
         engines[name]
         for name in sorted(named)
-        if registry_view.usable(floor.registry, engines[name])
+        if registry_view.usable(state.registry, engines[name])
     ]
     sound = [e for e in found if e["name"] not in ledger.suspects]
     return sound if sound or item else found
 
 
-def serving_engines(floor, names=None):
+def serving_engines(state, names=None):
     """Engines that could serve something by now: plain ones that were reported,
     others with something loaded.  Of those named, or of all."""
-    engines, found = floor.registry.engines, []
+    engines, found = state.registry.engines, []
     for name in engines if names is None else names & engines.keys():
         engine = engines[name]
-        ledger = ledger_of(floor, registry_view.shard_of(engine["service"], floor.shards))
+        ledger = ledger_of(state, registry_view.shard_of(engine["service"], state.shards))
         held = ledger.engines.get(engine["name"], {}).values()
         if engine["name"] in ledger.incarnations and (
             not engine["roomMb"] or any(i["state"] == "loaded" for i in held)
@@ -120,7 +120,7 @@
     return found
 
 
-def incarnation(floor, engine):
+def incarnation(state, engine):
     """The incarnation last reported of an engine."""
-    ledger = ledger_of(floor, registry_view.shard_of(engine["service"], floor.shards))
+    ledger = ledger_of(state, registry_view.shard_of(engine["service"], state.shards))
     return ledger.incarnations.get(engine["name"], "")
--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -45,50 +45,53 @@
 
     rates: dict = field(default_factory=dict)
     unserved: dict = field(default_factory=dict)
-    making: dict = field(default_factory=dict)
-    up_ms: dict = field(default_factory=dict)
+    reserved: dict = field(default_factory=dict)
+    loaded_at_ms: dict = field(default_factory=dict)
     pauseMs: dict = field(default_factory=dict)
-    before: dict = field(default_factory=dict)
+    loaded_before: dict = field(default_factory=dict)
     seeded: bool = False
-    run_s: float = 0.6
-    run_at_ms: float | None = None
+    request_s: float = 0.6
+    request_learned_ms: float | None = None
 
 
-def record_requests(d, now_ms, item, count):
+def record_requests(demand, now_ms, item, count):
     """An item was asked for `count` times since it was last told of."""
-    d.rates[item] = (request_rate(d, now_ms, item) + count * 1000 / FADE_MS, now_ms)
+    demand.rates[item] = (request_rate(demand, now_ms, item) + count * 1000 / FADE_MS, now_ms)
 
 
-def request_rate(d, now_ms, item):
+def request_rate(demand, now_ms, item):
     """How often a second an item has been asked for lately."""
-    old, at_ms = d.rates.get(item, (0.0, now_ms))
+    old, at_ms = demand.rates.get(item, (0.0, now_ms))
     return old * math.exp(-max(0.0, now_ms - at_ms) / FADE_MS)
 
 
-def learn_request_time(d, now_ms, running, asked):
+def learn_request_time(demand, now_ms, running, asked):
     """`running` requests are at the engines while `asked` come a second: by Little's law each
     is there for their ratio.  Single values are chance, so they are averaged over a while."""
     if asked < _FEW_ASKED:
         return
-    since_ms = 0.0 if d.run_at_ms is None else now_ms - d.run_at_ms
+    since_ms = 0.0 if demand.request_learned_ms is None else now_ms - demand.request_learned_ms
     share = 1 - math.exp(-since_ms / _RUN_FADE_MS)
     seen_s = min(_RUN_MOST_S, max(_RUN_LEAST_S, running / asked))
-    d.run_s, d.run_at_ms = d.run_s + share * (seen_s - d.run_s), now_ms
+    demand.request_s, demand.request_learned_ms = (
+        demand.request_s + share * (seen_s - demand.request_s),
+        now_ms,
+    )
 
 
-def record_unserved(d, now_ms, service, item):
+def record_unserved(demand, now_ms, service, item):
     """One more caller has to wait for an item, or is sent away."""
-    d.owed[item] = UnservedDemand(service, unserved(d, now_ms, item) + 1, now_ms)
+    demand.unserved[item] = UnservedDemand(service, unserved(demand, now_ms, item) + 1, now_ms)
 
 
-def unserved(d, now_ms, item):
+def unserved(demand, now_ms, item):
     """How many callers have had to wait for an item since it last served one."""
-    known = d.owed.get(item)
+    known = demand.unserved.get(item)
     if known is None:
         return 0.0
     return known.callers * math.exp(-max(0.0, now_ms - known.at_ms) / _OWED_FADE_MS)
 
 
-def clear_unserved(d, item):
+def clear_unserved(demand, item):
     """A caller found the item up."""
-    d.owed.pop(item, None)
+    demand.unserved.pop(item, None)
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -33,40 +33,40 @@
 _BESIDE = 0.2
 
 
-def plan(p, now_ms, registry, name, service, terms):
+def plan(placer, now_ms, registry, name, service, settings):
     """Give the orders that are due now; at most one an engine."""
     engines = {
         e.name: e
-        for e in registry_view.placement_engines(registry, name, engine_view.reports_of(p))
-        if e.name not in p.ledger.suspects
+        for e in registry_view.placement_engines(registry, name, engine_view.reports_of(placer))
+        if e.name not in placer.ledger.suspects
     }
     if not engines:
         return
-    idle = {name for name in engines if demand_view.is_idle(p, now_ms, name)}
-    if not idle and not order_notes.summary_due(p, now_ms):
+    idle = {name for name in engines if demand_view.is_idle(placer, now_ms, name)}
+    if not idle and not order_notes.summary_due(placer, now_ms):
         return
-    view = _view(p, now_ms, registry, name, service, engines, idle)
+    view = _view(placer, now_ms, registry, name, service, engines, idle)
     if idle:
         _forget(view)
         _bring_all(view)
     if view.waiting:
-        order_notes.log_summary(p, now_ms, name, lambda: waiting_summary.summarize(view))
+        order_notes.log_summary(placer, now_ms, name, lambda: waiting_summary.summarize(view))
 
 
-def _view(p, now_ms, registry, name, service, engines, idle):
-    copies = demand_view.copies_of(p, engines)
-    waiting = demand_view.waiting_requests(p, now_ms, name)
-    view = DemandView(p, now_ms, registry, name, service, engines, copies, waiting, idle=idle)
-    view.wished = demand_view.wanted_items(view)
-    if not p.demand.seeded:
+def _view(placer, now_ms, registry, name, service, engines, idle):
+    copies = demand_view.copies_of(placer, engines)
+    waiting = demand_view.waiting_requests(placer, now_ms, name)
+    view = DemandView(placer, now_ms, registry, name, service, engines, copies, waiting, idle=idle)
+    view.wanted = demand_view.wanted_items(view)
+    if not placer.demand.seeded:
         _seed(view)
-    view.rates = demand_view.request_rates(p.demand, now_ms)
-    view.adapters = demand_view.adapter_rates(view.rates)
-    view.hosts = demand_view.hosts_of(p, engines)
-    running = [p.engines[name].report.running for name in engines]
+    view.rates = demand_view.request_rates(placer.demand, now_ms)
+    view.adapter_rates = demand_view.adapter_rates(view.rates)
+    view.hosts = demand_view.hosts_of(placer, engines)
+    running = [placer.engines[name].report.running for name in engines]
     if None not in running:
         asked = sum(rate for item, rate in view.rates.items() if "/" not in item)
-        learn_request_time(p.demand, now_ms, sum(running), asked)
+        learn_request_time(placer.demand, now_ms, sum(running), asked)
     return view
 
 
@@ -75,7 +75,7 @@
     what is asked for most, what is waited for by claim, and more copies."""
     missing = [
         item
-        for item in view.wished
+        for item in view.wanted
         if not view.copies.get(item) and registry_view.item_size(view.registry, item) is not None
     ]
     claims = {item: demand_view.priority(view, item) for item in missing}
@@ -104,9 +104,9 @@
 def _forget(view):
     """Engines are no longer kept for what nobody waits for any more."""
     demand = view.placer.demand
-    demand.making = {
+    demand.reserved = {
         item: (engine, since_ms)
-        for item, (engine, since_ms) in demand.making.items()
+        for item, (engine, since_ms) in demand.reserved.items()
         if engine in view.engines and view.now_ms - since_ms < _MAKING_MS and _wished(view, item)
     }
     if len(demand.rates) > _MOST_RATES:
@@ -118,7 +118,7 @@
     """Whether an item is to come up, or to have one more copy."""
     copies = view.copies.get(item, 0)
     if not copies:
-        return item in view.wished
+        return item in view.wanted
     return copies < eviction.wanted_copies(view, item)
 
 
@@ -163,7 +163,7 @@
     carries out one order at a time, and its models' other hosts are busy."""
     return sum(
         asked
-        for model, asked in view.adapters.items()
+        for model, asked in view.adapter_rates.items()
         if name in (hosts := view.hosts.get(model, ()))
         and not any(other != name and other in view.idle for other in hosts)
     )
@@ -172,9 +172,9 @@
 def _bring_model(view, model, beside, most):
     """Choose the engine where a model costs least, and take the next step there."""
     size_mb = registry_view.item_size(view.registry, model)[0]
-    kept = view.placer.demand.making.get(model)
+    kept = view.placer.demand.reserved.get(model)
     names = [kept[0]] if kept else [n for n in sorted(view.idle) if n not in beside]
-    taken = {m[0] for i, m in view.placer.demand.making.items() if i != model}
+    taken = {m[0] for i, m in view.placer.demand.reserved.items() if i != model}
     found = []
     for name in names:
         if (
@@ -186,7 +186,7 @@
         pushed = eviction.eviction_for(view, name, model, size_mb)
         if pushed is None or pushed[0] > most:
             continue
-        known = model in view.placer.demand.before.get(name, ())
+        known = model in view.placer.demand.loaded_before.get(name, ())
         zones = sum(1 for n in beside if view.engines[n].zone == view.engines[name].zone)
         found.append(
             (
@@ -199,7 +199,7 @@
         )
     if found:
         name, out = min(found)[3:]
-        view.placer.demand.making.setdefault(model, (name, view.now_ms))
+        view.placer.demand.reserved.setdefault(model, (name, view.now_ms))
         _give(view, name, model, out)
 
 
@@ -214,7 +214,7 @@
         )
         view.copies[out[0]] = view.copies.get(out[0], 1) - 1
         return
-    known = item in view.placer.demand.before.get(name, ())
+    known = item in view.placer.demand.loaded_before.get(name, ())
     if (
         "/" not in item
         and not known
@@ -225,7 +225,7 @@
     size = registry_view.item_size(view.registry, item)
     orders.give_order(view.placer, name, item, "load", size[0], size[1], view.name)
     view.copies[item] = view.copies.get(item, 0) + 1
-    view.placer.demand.making.pop(item, None)
+    view.placer.demand.reserved.pop(item, None)
 
 
 def _more_copies(view, copies_of, share):
--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -49,9 +49,9 @@
     engines: dict
     copies: dict
     waiting: dict
-    wished: set = field(default_factory=set)
+    wanted: set = field(default_factory=set)
     rates: dict = field(default_factory=dict)
-    adapters: dict = field(default_factory=dict)
+    adapter_rates: dict = field(default_factory=dict)
     idle: set = field(default_factory=set)
     hosts: dict = field(default_factory=dict)
 
@@ -77,7 +77,7 @@
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] == name:
-            since_ms = placer.line.since_ms.get(id_, now_ms)
+            since_ms = placer.wait_queue.since_ms.get(id_, now_ms)
             caller = since_ms, 1 / (1 + _LESS_URGENT * rank_of(hold["class"]))
             for item in {hold["model"], item_name(hold["model"], hold["adapter"])}:
                 found.setdefault(item, []).append(caller)
@@ -90,7 +90,7 @@
     demand = view.placer.demand
     owing = {
         item
-        for item, known in demand.owed.items()
+        for item, known in demand.unserved.items()
         if known.service == view.name and unserved(demand, view.now_ms, item) > _STILL_OWED
     }
     return owing | view.waiting.keys()
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -25,52 +25,52 @@
 _FIRST_REPEAT, _FIRST_PAUSE = 0.7, 0.05
 
 
-def order_body(p, engine, item, order):
+def order_body(placer, engine, item, order):
     """What every call of an order says, the first one and those that give it again."""
-    body = {"epoch": p.epoch, "order": order, "item": item}
-    expected = engine_view.expected_count(engine_view.view_of(p, engine))
+    body = {"epoch": placer.epoch, "order": order, "item": item}
+    expected = engine_view.expected_count(engine_view.view_of(placer, engine))
     return body if expected is None else {**body, "expected": expected}
 
 
-def call(p, now_ms, id_, verb, engine, body, terms, item, order, not_after_ms=float("inf")):
+def call(placer, now_ms, id_, verb, engine, body, settings, item, order, not_after_ms=float("inf")):
     """A call to an engine, remembered until it ends."""
     expected = body.get("expected")
-    p.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
+    placer.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
     return Call(
-        f"{p.shard}|{p.epoch}|{id_}",
+        f"{placer.shard}|{placer.epoch}|{id_}",
         engine["name"],
         engine["url"],
         verb,
         body,
-        terms.call_ms,
+        settings.call_timeout_ms,
         not_after_ms,
     )
 
 
-def on_order_response(p, now_ms, id_, called, pending, terms):
+def on_order_response(placer, now_ms, id_, called, pending, settings):
     """Log what an order's answer proves."""
     engine, item, order = pending.engine, pending.item, pending.order
     first = id_ == order
     state = _proven_state(called, pending.verb, first)
-    order_notes.log_response(p, order, called, state, not first)
-    view = engine_view.view_of(p, engine)
+    order_notes.log_response(placer, order, called, state, not first)
+    view = engine_view.view_of(placer, engine)
     if called.code == _ANOTHER_ENGINE:
-        engine_view.address_reused(view, now_ms + terms.dark_ms)
+        engine_view.address_reused(view, now_ms + settings.unreachable_ms)
     if first:
         _first_ended(view, now_ms, called, pending, state)
-    entry = p.ledger.engines.get(engine, {}).get(item)
+    entry = placer.ledger.engines.get(engine, {}).get(item)
     if entry is None or entry["order"] != order:
         return
     if not first and state in ("refused", "unknown", "taken"):
         return
     if state in ("loaded", "unloaded"):
-        _done(p, now_ms, engine, item, entry, state)
+        _done(placer, now_ms, engine, item, entry, state)
         if state == "loaded" and not first and "/" not in item:
-            load_queue.learn_load_time(p, now_ms, engine, entry)
+            load_queue.learn_load_time(placer, now_ms, engine, entry)
     if state == "refused":
-        p.plan.refused_ms[engine, item] = now_ms
-        p.demand.pauseMs[engine] = now_ms + terms.call_ms / 10
-    append_record(p, ledgers.state_record(engine, item, order, state))
+        placer.plan.refused_ms[engine, item] = now_ms
+        placer.demand.pauseMs[engine] = now_ms + settings.call_timeout_ms / 10
+    append_record(placer, ledgers.state_record(engine, item, order, state))
 
 
 def _first_ended(view, now_ms, called, pending, state):
@@ -82,12 +82,12 @@
         engine_view.invalidate_count(view, now_ms)
 
 
-def _done(p, now_ms, engine, item, entry, state):
+def _done(placer, now_ms, engine, item, entry, state):
     """An order was carried out, by the engine's own word."""
-    engine_view.entry_settled(p.engines[engine], now_ms, item, entry["order"])
+    engine_view.entry_settled(placer.engines[engine], now_ms, item, entry["order"])
     if state == "loaded":
-        p.demand.up_ms[engine, item] = now_ms
-        p.demand.before.setdefault(engine, set()).add(item)
+        placer.demand.loaded_at_ms[engine, item] = now_ms
+        placer.demand.loaded_before.setdefault(engine, set()).add(item)
 
 
 def _proven_state(called, verb, first):
@@ -105,43 +105,43 @@
     return "unknown"
 
 
-def repeats_due(p, now_ms, registry, name, terms, lease_end_ms):
+def repeats_due(placer, now_ms, registry, name, settings, lease_end_ms):
     """Calls that give again what was taken and should be done by now."""
-    last_ms = lease_end_ms - terms.call_ms
-    if now_ms >= last_ms or p.held.lost:
+    last_ms = lease_end_ms - settings.call_timeout_ms
+    if now_ms >= last_ms or placer.held.lost:
         return []
     effects, soon_ms = [], float("inf")
     for engine in registry_view.engines_of(registry, name):
-        view = p.engines.get(engine["name"])
+        view = placer.engines.get(engine["name"])
         if (
             view is None
             or not registry_view.usable(registry, engine)
             or not engine_view.count_known(view)
         ):
             continue
-        for item, entry in p.ledger.engines.get(engine["name"], {}).items():
+        for item, entry in placer.ledger.engines.get(engine["name"], {}).items():
             order = entry["order"]
             call_of = view.calls.get(order)
             if entry["state"] != "taken" or call_of is None or call_of.ended_ms is None:
                 continue
-            if f"again:{order}" in p.calls:
+            if f"again:{order}" in placer.calls:
                 continue
-            next_ms, pause_ms = _next_repeat(call_of, _usual_ms(p, name, item, entry))
+            next_ms, pause_ms = _next_repeat(call_of, _usual_ms(placer, name, item, entry))
             if now_ms < next_ms:
                 soon_ms = min(soon_ms, next_ms)
                 continue
             pause_ms = max(_LEAST_PAUSE_MS, _SLOWER * pause_ms)
             engine_view.schedule_repeat(view, order, now_ms + pause_ms, pause_ms)
-            body = order_body(p, engine["name"], item, order)
+            body = order_body(placer, engine["name"], item, order)
             effects.append(
                 call(
-                    p,
+                    placer,
                     now_ms,
                     f"again:{order}",
                     entry["verb"],
                     engine,
                     body,
-                    terms,
+                    settings,
                     item,
                     order,
                     last_ms,
@@ -158,8 +158,8 @@
     return call_of.repeat_ms, call_of.pause_ms
 
 
-def _usual_ms(p, service, item, entry):
+def _usual_ms(placer, service, item, entry):
     """How long an order usually takes once the engine has taken it."""
     if entry["verb"] == "load" and "/" not in item:
-        return p.plan.load_ms.get(service, _UNKNOWN_LOAD_MS)
+        return placer.plan.load_ms.get(service, _UNKNOWN_LOAD_MS)
     return _ADAPTER_MS
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -18,7 +18,7 @@
 
 @dataclass
 class EngineListPoll:
-    asked_ms: float = -1e12
+    requested_ms: float = -1e12
     round: int = 0
     token: str = ""
     open: bool = False
@@ -26,55 +26,62 @@
     warm_until_ms: dict = field(default_factory=dict)
 
 
-def tick(r, now_ms, terms, address, id_):
+def tick(poll, now_ms, settings, address, id_):
     """Ask for the first page when it is time; `id_` makes a call's id."""
     if (
         not address
-        or now_ms - r.asked_ms < terms.list_ms
-        or (r.open and now_ms - r.asked_ms < 2 * terms.call_ms)
+        or now_ms - poll.requested_ms < settings.list_interval_ms
+        or (poll.open and now_ms - poll.requested_ms < 2 * settings.call_timeout_ms)
     ):
         return []
-    r.asked_ms, r.round, r.open = now_ms, r.round + 1, True
-    r.found, r.token = {}, ""
-    return [_ask(r, terms, address, id_)]
+    poll.requested_ms, poll.round, poll.open = now_ms, poll.round + 1, True
+    poll.found, poll.token = {}, ""
+    return [_ask(poll, settings, address, id_)]
 
 
-def _ask(r, terms, address, id_):
-    return Call(f"{id_}|list:{r.round}", "", address, "list", {"token": r.token}, terms.call_ms)
+def _ask(poll, settings, address, id_):
+    return Call(
+        f"{id_}|list:{poll.round}",
+        "",
+        address,
+        "list",
+        {"token": poll.token},
+        settings.call_timeout_ms,
+    )
 
 
-def on_called(r, now_ms, id_, called, registry, terms, address, prefix):
+def on_called(poll, now_ms, id_, called, registry, settings, address, prefix):
     """(effects, changed engines): the next page is asked for, or the list is whole."""
-    if id_ != f"list:{r.round}" or not r.open:
+    if id_ != f"list:{poll.round}" or not poll.open:
         return [], []
     if called.code != 200 or not isinstance(called.body.get("engines"), list):
-        r.open = False
+        poll.open = False
         return [], []
     for engine in called.body["engines"]:
-        r.found[engine["name"]] = engine
+        poll.found[engine["name"]] = engine
     token = called.body.get("next")
-    if token and len(r.found) < _PAGES * 50:
-        r.token = token
-        return [_ask(r, terms, address, prefix)], []
-    r.open = False
-    return [], _changes(r, now_ms, registry)
+    if token and len(poll.found) < _PAGES * 50:
+        poll.token = token
+        return [_ask(poll, settings, address, prefix)], []
+    poll.open = False
+    return [], _changes(poll, now_ms, registry)
 
 
-def _changes(r, now_ms, registry):
+def _changes(poll, now_ms, registry):
     changed = []
-    for name, engine in r.found.items():
+    for name, engine in poll.found.items():
         old = registry.engines.get(name)
         plain = {k: v for k, v in engine.items() if k != "warmMs"}
         warmMs = int(engine.get("warmMs", 0))
-        colder = warmMs > 0 and now_ms + warmMs > r.warm_until_ms.get(name, -1e12) + _SLACK_MS
+        colder = warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _SLACK_MS
         if old is None or colder or any(old.get(k) != v for k, v in plain.items()):
             if colder:
-                r.warm_until_ms[name] = now_ms + warmMs
-            left_ms = max(0, int(r.warm_until_ms.get(name, now_ms) - now_ms))
+                poll.warm_until_ms[name] = now_ms + warmMs
+            left_ms = max(0, int(poll.warm_until_ms.get(name, now_ms) - now_ms))
             changed.append({**plain, **({"warmMs": left_ms} if left_ms else {})})
     for name, old in registry.engines.items():
-        if name not in r.found:
-            r.warm_until_ms.pop(name, None)
+        if name not in poll.found:
+            poll.warm_until_ms.pop(name, None)
             changed.append(
                 {**{k: old[k] for k in ("name", "service", "zone", "url")}, "state": "gone"}
             )
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -18,23 +18,23 @@
 _OPEN = ("intended", "taken", "unknown")
 
 
-def on_report(placer, now_ms, engine, body, asked_ms, registry):
+def on_report(placer, now_ms, engine, body, requested_ms, registry):
     """A report came that was asked for at `asked_ms`; what can't be read changes nothing."""
     facts = registry.engines.get(engine)
     if facts is None or not _is_valid(body):
         return
     view = engine_view.view_of(placer, engine)
-    if now_ms < view.replaced_until_ms:
+    if now_ms < view.ignore_reports_until_ms:
         return
-    report = view.report = _parse(body, asked_ms)
+    report = view.report = _parse(body, requested_ms)
     if placer.ledger.incarnations.get(engine) != report.incarnation:
         _new_incarnation(placer, now_ms, engine, report, registry)
         return
     if engine_view.is_outdated(view, report):
         return
-    changed_ms = view.changed_ms
+    changed_ms = view.entries_changed_ms
     _settle_entries(placer, now_ms, engine, report)
-    if asked_ms < changed_ms:
+    if requested_ms < changed_ms:
         return
     strange = _unexplained(placer, engine, report, _facts(registry, facts, report.items))
     if strange:
@@ -51,7 +51,7 @@
     view, facts = placer.engines[engine], registry.engines[engine]
     order_notes.log_found(placer, now_ms, engine, report.items, report)
     found = _facts(registry, facts, report.items)
-    keep = _orders_in_flight(placer, engine, report.asked_ms)
+    keep = _orders_in_flight(placer, engine, report.requested_ms)
     append_record(
         placer,
         ledgers.found_record(engine, report.incarnation, found, facts["service"], keep),
@@ -60,14 +60,14 @@
     engine_view.learn_count(view, now_ms, report)
 
 
-def _parse(body, asked_ms):
+def _parse(body, requested_ms):
     """A Report of a sound body."""
     return Report(
         body["incarnation"],
         body["roomMb"],
         body["adapterPlaces"],
         dict(body["items"]),
-        asked_ms,
+        requested_ms,
         bool(body.get("busy")),
         body.get("orders"),
         body.get("running"),
@@ -80,7 +80,7 @@
     for item, entry in list(entries.items()):
         seen = report.items.get(item)
         if seen == "loaded":
-            view.missing_ms.pop((item, entry["order"]), None)
+            view.first_missing_ms.pop((item, entry["order"]), None)
         elif report.busy:
             continue
         state = _settled(placer, now_ms, view, item, entry, report)
@@ -121,13 +121,13 @@
     )
 
 
-def _orders_in_flight(placer, engine, asked_ms):
+def _orders_in_flight(placer, engine, requested_ms):
     """Orders that may reach the new incarnation after it answered this report: their calls
     had not ended when it was asked for, or got no answer."""
     view, found = placer.engines[engine], set()
     for item, entry in placer.ledger.engines.get(engine, {}).items():
         ended_ms = engine_view.ended_ms(view, entry["order"])
-        flying = ended_ms is None or ended_ms >= asked_ms
+        flying = ended_ms is None or ended_ms >= requested_ms
         if entry["order"] and (
             entry["state"] == "unknown" or (entry["state"] == "intended" and flying)
         ):
@@ -164,17 +164,17 @@
     return found
 
 
-def _confirmed_missing(view, now_ms, item, order, asked_ms):
+def _confirmed_missing(view, now_ms, item, order, requested_ms):
     """An engine that woke may answer a report before an order that came earlier on another
     pipe; so it takes a second report in a row, asked for after the first."""
-    first_ms = view.missing_ms.setdefault((item, order), now_ms)
-    return asked_ms > first_ms
+    first_ms = view.first_missing_ms.setdefault((item, order), now_ms)
+    return requested_ms > first_ms
 
 
 def _settled(placer, now_ms, view, item, entry, report):
     """The new state that a report gives an entry, or None."""
     open_ = entry["state"] in _OPEN
-    if open_ and not _may_settle(placer, view, entry, report.asked_ms):
+    if open_ and not _may_settle(placer, view, entry, report.requested_ms):
         return None
     seen = report.items.get(item)
     if entry["verb"] == "load":
@@ -191,13 +191,13 @@
         return "loaded" if entry["state"] != "loaded" else None
     if seen is None and (
         entry["state"] == "taken"
-        or _confirmed_missing(view, now_ms, item, entry["order"], report.asked_ms)
+        or _confirmed_missing(view, now_ms, item, entry["order"], report.requested_ms)
     ):
         return "forgotten"
     return None
 
 
-def _may_settle(placer, view, entry, asked_ms):
+def _may_settle(placer, view, entry, requested_ms):
     """Whether a report asked for at `asked_ms` says anything of an open order."""
     order = entry["order"]
     if engine_view.call_open(view, order):
@@ -210,9 +210,9 @@
         and _from_this_epoch(placer, entry)
     ):
         return False
-    if ended_ms is not None and asked_ms <= ended_ms:
+    if ended_ms is not None and requested_ms <= ended_ms:
         return False
-    return asked_ms >= placer.not_before_ms or _from_this_epoch(placer, entry)
+    return requested_ms >= placer.not_before_ms or _from_this_epoch(placer, entry)
 
 
 def _from_this_epoch(placer, entry):
--- a/libs/placement/src/placement/engine_view.py
+++ b/libs/placement/src/placement/engine_view.py
@@ -54,7 +54,7 @@
     roomMb: int
     places: int
     items: dict
-    asked_ms: float
+    requested_ms: float
     busy: bool = False
     orders: int | None = None
     running: int | None = None
@@ -66,7 +66,7 @@
     that comes after the next was made is judged by the time of its own call."""
 
     id: str
-    asked_ms: float
+    requested_ms: float
 
 
 @dataclass(frozen=True)
@@ -98,11 +98,11 @@
     report: Report | None = None
     poll: Poll | None = None
     count: OrderCount | None = None
-    doubted_ms: float = _NEVER_MS
-    changed_ms: float = _NEVER_MS
-    replaced_until_ms: float = _NEVER_MS
+    count_invalid_ms: float = _NEVER_MS
+    entries_changed_ms: float = _NEVER_MS
+    ignore_reports_until_ms: float = _NEVER_MS
     calls: dict = field(default_factory=dict)
-    missing_ms: dict = field(default_factory=dict)
+    first_missing_ms: dict = field(default_factory=dict)
 
 
 def view_of(placer, engine):
@@ -153,9 +153,9 @@
     view.poll = poll
 
 
-def report_failed(view, now_ms, dark_ms):
+def report_failed(view, now_ms, unreachable_ms):
     """A call for a report got no answer: after a while the last report counts no more."""
-    if view.report is not None and now_ms - view.report.asked_ms > dark_ms:
+    if view.report is not None and now_ms - view.report.requested_ms > unreachable_ms:
         view.report = None
 
 
@@ -186,13 +186,13 @@
     """The entries may differ from what the engine holds: only a report asked for after
     `now_ms` says again what that is."""
     view.count = None
-    view.doubted_ms = now_ms
+    view.count_invalid_ms = now_ms
 
 
 def entry_settled(view, now_ms, item, order):
     """An entry stands, or is gone, by the engine's word: no earlier report counts."""
-    view.changed_ms = now_ms
-    view.missing_ms.pop((item, order), None)
+    view.entries_changed_ms = now_ms
+    view.first_missing_ms.pop((item, order), None)
     call = view.calls.get(order)
     if call is not None:
         call.repeat_ms = None
@@ -203,10 +203,10 @@
     later one shows that an answer was taken for another order's: the report is right."""
     if report.orders is None:
         return False
-    if report.asked_ms <= view.doubted_ms:
+    if report.requested_ms <= view.count_invalid_ms:
         return True
     return view.count is not None and (
-        report.orders < view.count.orders and report.asked_ms <= view.count.since_ms
+        report.orders < view.count.orders and report.requested_ms <= view.count.since_ms
     )
 
 
@@ -214,7 +214,7 @@
     """The entries charge all that a report shows: its count is the engine's, unless it is busy."""
     if report.orders is None or report.busy:
         return
-    view.doubted_ms = _NEVER_MS
+    view.count_invalid_ms = _NEVER_MS
     if expected_count(view) != report.orders:
         view.count = OrderCount(report.orders, now_ms)
 
@@ -222,14 +222,14 @@
 def engine_restarted(view):
     """Another engine has begun under the name: its count has to be learned."""
     view.count = None
-    view.doubted_ms = _NEVER_MS
+    view.count_invalid_ms = _NEVER_MS
 
 
 def address_reused(view, until_ms):
     """Another engine has this one's address, and answers reports as its own: for a while none
     is believed, and nothing ordered."""
     view.report = None
-    view.replaced_until_ms = until_ms
+    view.ignore_reports_until_ms = until_ms
 
 
 def restore_calls(view, now_ms, entries):
@@ -243,8 +243,8 @@
     """Drop what is remembered of calls and items without an entry."""
     orders = {entry["order"] for entry in entries.values()}
     view.calls = {o: c for o, c in view.calls.items() if o in orders or c.ended_ms is None}
-    view.missing_ms = {
+    view.first_missing_ms = {
         (item, order): at_ms
-        for (item, order), at_ms in view.missing_ms.items()
+        for (item, order), at_ms in view.first_missing_ms.items()
         if item in entries and entries[item]["order"] == order
     }
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -49,7 +49,9 @@
 def _copies(view, model, part):
     """How many copies a model's demand keeps busy to a part of their slots."""
     slots = max(1, view.service.get("slots") or _SLOTS)
-    return max(1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.run_s / (part * slots)))
+    return max(
+        1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.request_s / (part * slots))
+    )
 
 
 def eviction_for(view, name, model, size_mb):
@@ -63,7 +65,7 @@
     for other, entry in items.items():
         if "/" in other or entry["verb"] != "load" or entry["state"] != "loaded":
             continue
-        if view.now_ms - view.placer.demand.up_ms.get((name, other), -1e12) < _KEEP_MS:
+        if view.now_ms - view.placer.demand.loaded_at_ms.get((name, other), -1e12) < _KEEP_MS:
             continue
         own_mb = sum(
             registry_view.entry_charge(view.registry, i, e)[0]
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -47,8 +47,8 @@
     suspects: dict = field(default_factory=dict)
 
 
-def _encode(told):
-    return json.dumps(told, separators=(",", ":"), sort_keys=True).encode()
+def _encode(data):
+    return json.dumps(data, separators=(",", ":"), sort_keys=True).encode()
 
 
 def order_record(engine, item, verb, order, mb, places, service):
@@ -101,56 +101,56 @@
     """What can't be read, or is of a later version's kind, changes nothing.  Returns the
     engine that the record is about, or None if it is about none."""
     try:
-        told = json.loads(record)
-        kind = told["k"]
+        data = json.loads(record)
+        kind = data["k"]
     except (ValueError, KeyError, TypeError):
         return None
     if kind == "order":
         ledger.orderCount += 1
-        ledger.engines.setdefault(told["engine"], {})[told["item"]] = {
-            "verb": told["verb"],
-            "order": told["order"],
+        ledger.engines.setdefault(data["engine"], {})[data["item"]] = {
+            "verb": data["verb"],
+            "order": data["order"],
             "state": "intended",
-            "mb": told["mb"],
-            "places": told["places"],
-            "service": told["service"],
+            "mb": data["mb"],
+            "places": data["places"],
+            "service": data["service"],
         }
     elif kind == "state":
-        _state(ledger, told)
+        _state(ledger, data)
     elif kind == "found":
-        _found(ledger, told)
+        _found(ledger, data)
     elif kind == "hold":
         ledger.holdCount += 1
-        ledger.holds[told["hold"]["id"]] = {**told["hold"], "turn": ledger.holdCount}
+        ledger.holds[data["hold"]["id"]] = {**data["hold"], "turn": ledger.holdCount}
     elif kind == "unhold":
-        if ledger.holds.pop(told["id"], None) and told.get("retryMs"):
-            ledger.told[told["id"]] = [told["why"], told["retryMs"]]
+        if ledger.holds.pop(data["id"], None) and data.get("retryMs"):
+            ledger.told[data["id"]] = [data["why"], data["retryMs"]]
             while len(ledger.told) > _MAX_REJECTED:
                 del ledger.told[next(iter(ledger.told))]
     elif kind == "unmet":
-        ledger.unmet[told["service"]] = told["unmet"]
+        ledger.unmet[data["service"]] = data["unmet"]
     elif kind == "dropped":
-        for entry in ledger.engines.pop(told["engine"], {}).values():
+        for entry in ledger.engines.pop(data["engine"], {}).values():
             if is_open_load(entry):
                 ledger.lingering[entry["order"]] = entry["service"]
-        ledger.incarnations.pop(told["engine"], None)
+        ledger.incarnations.pop(data["engine"], None)
     elif kind == "lingered":
-        ledger.lingering.pop(told["order"], None)
+        ledger.lingering.pop(data["order"], None)
     elif kind == "suspect":
-        ledger.suspects[told["engine"]] = True
+        ledger.suspects[data["engine"]] = True
     elif kind == "cleared":
-        ledger.suspects.pop(told["engine"], None)
-    return told.get("engine")
+        ledger.suspects.pop(data["engine"], None)
+    return data.get("engine")
 
 
-def _state(ledger, told):
-    items = ledger.engines.get(told["engine"], {})
-    entry = items.get(told["item"])
-    if entry is None or entry["order"] != told["order"]:
+def _state(ledger, data):
+    items = ledger.engines.get(data["engine"], {})
+    entry = items.get(data["item"])
+    if entry is None or entry["order"] != data["order"]:
         return
-    state = told["state"]
+    state = data["state"]
     if state in ("unloaded", "forgotten") or (state == "refused" and entry["verb"] == "load"):
-        for item in [i for i in items if i == told["item"] or i.startswith(told["item"] + "/")]:
+        for item in [i for i in items if i == data["item"] or i.startswith(data["item"] + "/")]:
             del items[item]
     elif state in ("refused", "loaded"):
         entry["verb"], entry["state"] = "load", "loaded"
@@ -158,20 +158,20 @@
         entry["state"] = state
 
 
-def _found(ledger, told):
-    if ledger.incarnations.get(told["engine"]) != told["incarnation"]:
-        old = ledger.engines.get(told["engine"], {})
-        ledger.engines[told["engine"]] = {i: old[i] for i in told.get("keep", ()) if i in old}
-        ledger.incarnations[told["engine"]] = told["incarnation"]
-    items = ledger.engines.setdefault(told["engine"], {})
-    for item, facts in told["items"].items():
+def _found(ledger, data):
+    if ledger.incarnations.get(data["engine"]) != data["incarnation"]:
+        old = ledger.engines.get(data["engine"], {})
+        ledger.engines[data["engine"]] = {i: old[i] for i in data.get("keep", ()) if i in old}
+        ledger.incarnations[data["engine"]] = data["incarnation"]
+    items = ledger.engines.setdefault(data["engine"], {})
+    for item, facts in data["items"].items():
         items[item] = {
             "verb": "load",
             "order": "",
             "state": facts["state"],
             "mb": facts["mb"],
             "places": facts["places"],
-            "service": told["service"],
+            "service": data["service"],
             "sized": facts.get("sized", True),
         }
 
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -33,25 +33,25 @@
     return burst, (loads["perMinute"] - burst) / 60000
 
 
-def waiting_since(p, name):
+def waiting_since(placer, name):
     """item -> since when, in effect, somebody waits for it."""
     found: dict = {}
-    for id_, hold in p.ledger.holds.items():
+    for id_, hold in placer.ledger.holds.items():
         if hold["service"] != name:
             continue
-        at_ms = p.line.since_ms.get(id_, 0.0) + rank_of(hold["class"]) * _STEP_MS
+        at_ms = placer.wait_queue.since_ms.get(id_, 0.0) + rank_of(hold["class"]) * _STEP_MS
         for item in {hold["model"], placement.item_name(hold["model"], hold["adapter"])}:
             found[item] = min(found.get(item, at_ms), at_ms)
     return found
 
 
-def ordered_loads(p, name, made, yields):
+def ordered_loads(placer, name, made, yields):
     """(engine, item) still to be loaded, next one first."""
-    waited = waiting_since(p, name)
+    waited = waiting_since(placer, name)
 
     def turn(place):
         engine, item = place
-        if item in waited and not _comes_up(p, item):
+        if item in waited and not _comes_up(placer, item):
             return (0, waited[item], item, engine)
         return (1, yields.get(made.targets[engine][item], placement.BEST_EFFORT), item, engine)
 
@@ -60,103 +60,107 @@
             (engine, item)
             for engine, targets in made.targets.items()
             for item in targets
-            if item not in p.ledger.engines.get(engine, {})
+            if item not in placer.ledger.engines.get(engine, {})
         ),
         key=turn,
     )
 
 
-def _comes_up(p, item):
+def _comes_up(placer, item):
     return any(
-        item in items and items[item]["verb"] == "load" for items in p.ledger.engines.values()
+        item in items and items[item]["verb"] == "load" for items in placer.ledger.engines.values()
     )
 
 
-def learn_load_time(p, now_ms, engine, entry):
+def learn_load_time(placer, now_ms, engine, entry):
     """A load was seen done: remember how long they take."""
-    ended_ms, service = _ended_ms(p, engine, entry), entry["service"]
+    ended_ms, service = _ended_ms(placer, engine, entry), entry["service"]
     if ended_ms is not None:
         took_ms = now_ms - ended_ms
-        p.plan.load_ms[service] = 0.7 * p.plan.load_ms.get(service, took_ms) + 0.3 * took_ms
+        placer.plan.load_ms[service] = (
+            0.7 * placer.plan.load_ms.get(service, took_ms) + 0.3 * took_ms
+        )
 
 
-def estimate_wait(p, now_ms, name, loads, item, terms):
+def estimate_wait(placer, now_ms, name, loads, item, settings):
     """In how many ms an item will be up somewhere; None if nothing brings it.  What
     a silent engine may be loading, or one that gets no work holds, is no hope."""
-    loadMs = p.plan.load_ms.get(name, 2 * terms.report_ms)
+    loadMs = placer.plan.load_ms.get(name, 2 * settings.report_interval_ms)
     base, _, adapter = item.partition("/")
-    serving = _serving(p, name)
+    serving = _serving(placer, name)
     entries = [
         (n, e)
-        for n, items in p.ledger.engines.items()
+        for n, items in placer.ledger.engines.items()
         for i, e in items.items()
         if i == item and e["verb"] == "load" and n in serving
     ]
     if any(e["state"] == "loaded" for _, e in entries):
         return 0.0
     if entries:
-        ended = [_ended_ms(p, n, e) for n, e in entries]
+        ended = [_ended_ms(placer, n, e) for n, e in entries]
         start_ms = max(now_ms if at_ms is None else at_ms for at_ms in ended)
-        return max(terms.report_ms, loadMs - (now_ms - start_ms))
-    places = [n for n, (_, i) in enumerate(p.plan.queues.get(name, ()), 1) if i == item]
+        return max(settings.report_interval_ms, loadMs - (now_ms - start_ms))
+    places = [n for n, (_, i) in enumerate(placer.plan.queues.get(name, ()), 1) if i == item]
     if not places or not loads["atOnce"] or not loads["perMinute"]:
         return None
-    tokens = p.plan.tokens.get(name, (0.0, now_ms))[0]
+    tokens = placer.plan.tokens.get(name, (0.0, now_ms))[0]
     per_ms = max(1e-9, store_rate(loads)[1])
-    open_loads = ledgers.open_loads(p.ledger, name)
+    open_loads = ledgers.open_loads(placer.ledger, name)
     rate_ms = max(0.0, (places[0] - tokens) / per_ms)
     turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * loadMs
-    steps = 2 if adapter and not _loaded(p, base) else 1
-    return max(rate_ms, turns_ms) + steps * (loadMs + terms.report_ms)
+    steps = 2 if adapter and not _loaded(placer, base) else 1
+    return max(rate_ms, turns_ms) + steps * (loadMs + settings.report_interval_ms)
 
 
-def _ended_ms(p, engine, entry):
+def _ended_ms(placer, engine, entry):
     """When the call of an entry's order ended, None if it hasn't or isn't known."""
-    view = p.engines.get(engine)
+    view = placer.engines.get(engine)
     return None if view is None else engine_view.ended_ms(view, entry["order"])
 
 
-def _loaded(p, item):
-    return any(ledgers.is_loaded(p.ledger, engine, item) for engine in p.ledger.engines)
+def _loaded(placer, item):
+    return any(ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines)
 
 
-def _serving(p, name):
+def _serving(placer, name):
     """Engines that the last plan counted on: heard of, and open for new work."""
-    plan = p.plan.plans.get(name)
-    return {e.name for e in plan[0][2]} if plan else set(engine_view.reports_of(p))
+    plan = placer.plan.plans.get(name)
+    return {e.name for e in plan[0][2]} if plan else set(engine_view.reports_of(placer))
 
 
-def reject_unservable(p, now_ms, name, loads, made, terms):
+def reject_unservable(placer, now_ms, name, loads, made, settings):
     """Tell those whom no plan has room for, or whose deadline can't be met."""
     coming = {i for targets in made.targets.values() for i in targets}
-    serving = _serving(p, name)
-    coming |= {i for n, items in p.ledger.engines.items() if n in serving for i in items}
-    p.line.hope_ms = {i: ms for i, ms in p.line.hope_ms.items() if i in p.ledger.holds}
-    for id_, hold in list(p.ledger.holds.items()):
+    serving = _serving(placer, name)
+    coming |= {i for n, items in placer.ledger.engines.items() if n in serving for i in items}
+    placer.wait_queue.estimated_ms = {
+        i: ms for i, ms in placer.wait_queue.estimated_ms.items() if i in placer.ledger.holds
+    }
+    for id_, hold in list(placer.ledger.holds.items()):
         if hold["service"] != name:
             continue
         item = placement.item_name(hold["model"], hold["adapter"])
         if item not in coming:
-            _tell(p, id_, "no-room", 10 * terms.call_ms)
+            _tell(placer, id_, "no-room", 10 * settings.call_timeout_ms)
             continue
-        wait_ms = estimate_wait(p, now_ms, name, loads, item, terms)
-        end_ms = p.line.since_ms.get(id_, now_ms) + hold["waitMs"]
+        wait_ms = estimate_wait(placer, now_ms, name, loads, item, settings)
+        end_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
-        hope_ms = p.line.hope_ms.setdefault(id_, now_ms + wait_ms)
-        overdue = now_ms > hope_ms + wait_ms and not _comes_up(p, item)
+        hope_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
+        overdue = now_ms > hope_ms + wait_ms and not _comes_up(placer, item)
         if overdue or now_ms + 0.9 * wait_ms > end_ms:
-            _tell(p, id_, "loads-queue", wait_ms)
+            _tell(placer, id_, "loads-queue", wait_ms)
 
 
-def _tell(p, id_, why, retryMs):
-    p.line.since_ms.pop(id_, None)
-    append_record(p, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
+def _tell(placer, id_, why, retryMs):
+    placer.wait_queue.since_ms.pop(id_, None)
+    append_record(placer, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
 
 
-def drop_lost_counters(p, lost):
+def drop_lost_counters(placer, lost):
     """A counter's death frees the places of those who waited at it; `lost` says
     of a counter's name and life whether it is gone."""
-    for id_, hold in list(p.ledger.holds.items()):
+    for id_, hold in list(placer.ledger.holds.items()):
         if lost(hold.get("node", ""), hold.get("life", "")):
-            _tell(p, id_, "counter-lost", 1000)
+            _tell(placer, id_, "counter-lost", 1000)
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -81,7 +81,7 @@
             "count": report.orders,
             "known": engine_view.expected_count(engine_view.view_of(placer, engine)),
             "busy": report.busy,
-            "ageMs": round(now_ms - report.asked_ms),
+            "ageMs": round(now_ms - report.requested_ms),
         },
     )
 
@@ -96,7 +96,7 @@
             "items": sorted(items),
             "count": report.orders,
             "busy": report.busy,
-            "ageMs": round(now_ms - report.asked_ms),
+            "ageMs": round(now_ms - report.requested_ms),
         },
     )
 
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -16,43 +16,47 @@
 _MOST_TIMES = 4
 
 
-def plan(p, now_ms, registry, name, service, terms):
-    p.plan.refused_ms = {
-        k: ms for k, ms in p.plan.refused_ms.items() if now_ms - ms < 2 * terms.call_ms
+def plan(placer, now_ms, registry, name, service, settings):
+    placer.plan.refused_ms = {
+        k: ms
+        for k, ms in placer.plan.refused_ms.items()
+        if now_ms - ms < 2 * settings.call_timeout_ms
     }
-    engines = registry_view.placement_engines(registry, name, engine_view.reports_of(p))
-    made = _made(p, registry, name, service, engines)
+    engines = registry_view.placement_engines(registry, name, engine_view.reports_of(placer))
+    made = _made(placer, registry, name, service, engines)
     if engines:
-        load_queue.reject_unservable(p, now_ms, name, service["loads"], made, terms)
+        load_queue.reject_unservable(placer, now_ms, name, service["loads"], made, settings)
     sizes = {e.name: e for e in engines}
     for engine in engines:
-        _unload(p, registry, engine, name, made, sizes)
-    for engine, item in p.plan.queues[name]:
-        if _fits(p, registry, sizes[engine], item) and not _load(
-            p, now_ms, registry, engine, item, name, service
+        _unload(placer, registry, engine, name, made, sizes)
+    for engine, item in placer.plan.queues[name]:
+        if _fits(placer, registry, sizes[engine], item) and not _load(
+            placer, now_ms, registry, engine, item, name, service
         ):
             return
 
 
-def _made(p, registry, name, service, engines):
+def _made(placer, registry, name, service, engines):
     """The plan, made anew only when something that it looks at has changed."""
-    inputs = (registry.stamp, p.held.next, tuple(engines))
-    kept = p.plan.plans.get(name)
+    inputs = (registry.stamp, placer.held.next, tuple(engines))
+    kept = placer.plan.plans.get(name)
     if kept is not None and kept[0] == inputs:
         return kept[1]
     present = {
         e: {i for i, entry in items.items() if entry["verb"] == "load"}
-        for e, items in p.ledger.engines.items()
+        for e, items in placer.ledger.engines.items()
     }
-    wishes = registry_view.wishes_of(registry, name, p.ledger)
+    wishes = registry_view.wishes_of(registry, name, placer.ledger)
     made = placement.place(engines, wishes, registry_view.shares_of(service), present)
-    p.plan.queues[name] = load_queue.ordered_loads(p, name, made, {w.id: w.yields for w in wishes})
-    _log_unmet(p, name, made, service)
-    p.plan.plans[name] = (inputs, made)
+    placer.plan.queues[name] = load_queue.ordered_loads(
+        placer, name, made, {w.id: w.yields for w in wishes}
+    )
+    _log_unmet(placer, name, made, service)
+    placer.plan.plans[name] = (inputs, made)
     return made
 
 
-def _log_unmet(p, name, made, service):
+def _log_unmet(placer, name, made, service):
     unmet = made.unmet
     if service["loads"]["atOnce"] == 0 and not unmet:
         unmet = {
@@ -65,51 +69,54 @@
                 "shareSpent": False,
             }
         }
-    if p.ledger.unmet.get(name, {}) != unmet:
-        append_record(p, ledgers.unmet_record(name, unmet))
+    if placer.ledger.unmet.get(name, {}) != unmet:
+        append_record(placer, ledgers.unmet_record(name, unmet))
 
 
-def give_order(p, engine, item, verb, mb, places, service):
+def give_order(placer, engine, item, verb, mb, places, service):
     """Log an order; it is sent once the record is durable."""
-    number = p.ledger.orderCount + 1
-    order = f"{p.shard}.{p.epoch}.{number}"
-    order_notes.log_order(p, engine, item, verb, order)
+    number = placer.ledger.orderCount + 1
+    order = f"{placer.shard}.{placer.epoch}.{number}"
+    order_notes.log_order(placer, engine, item, verb, order)
     body = {
-        **engine_calls.order_body(p, engine, item, order),
-        "shard": p.shard,
+        **engine_calls.order_body(placer, engine, item, order),
+        "shard": placer.shard,
         "number": number,
         "roomMb": mb,
         "places": places,
     }
     append_record(
-        p,
+        placer,
         ledgers.order_record(engine, item, verb, order, mb, places, service),
         ("order", engine, item, order, verb, body),
     )
 
 
-def _may_order(p, engine):
+def _may_order(placer, engine):
     """Whether an engine may be given an order now."""
-    entries = p.ledger.engines.get(engine, {})
-    return engine_view.can_take_order(engine_view.view_of(p, engine), entries)
+    entries = placer.ledger.engines.get(engine, {})
+    return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
-def _moving(p, registry, engine, item, made, sizes):
+def _moving(placer, registry, engine, item, made, sizes):
     """Whether a copy's new place comes up, or can, while this one still serves."""
     return any(
         item in targets
         and other != engine
-        and not ledgers.is_loaded(p.ledger, other, item)
-        and (item in p.ledger.engines.get(other, {}) or _fits(p, registry, sizes[other], item))
+        and not ledgers.is_loaded(placer.ledger, other, item)
+        and (
+            item in placer.ledger.engines.get(other, {})
+            or _fits(placer, registry, sizes[other], item)
+        )
         for other, targets in made.targets.items()
     )
 
 
-def _unload(p, registry, engine, service, made, sizes):
+def _unload(placer, registry, engine, service, made, sizes):
     """Unload what no layout names any more, or what stands in a target's way; a
     copy that moves goes only once it is up elsewhere, if there is room for both."""
     targets = made.targets[engine.name]
-    items = p.ledger.engines.get(engine.name, {})
+    items = placer.ledger.engines.get(engine.name, {})
     missing = [i for i in targets if i not in items]
     for item, entry in sorted(items.items(), reverse=True):
         if entry["verb"] != "load" or entry["state"] != "loaded" or item in targets:
@@ -118,27 +125,27 @@
             continue
         if not missing and registry_view.item_size(registry, item) is not None:
             continue
-        if not _may_order(p, engine.name):
+        if not _may_order(placer, engine.name):
             return
-        if (engine.name, item) in p.plan.refused_ms or _moving(
-            p, registry, engine.name, item, made, sizes
+        if (engine.name, item) in placer.plan.refused_ms or _moving(
+            placer, registry, engine.name, item, made, sizes
         ):
             continue
-        give_order(p, engine.name, item, "unload", entry["mb"], entry["places"], service)
+        give_order(placer, engine.name, item, "unload", entry["mb"], entry["places"], service)
 
 
-def _fits(p, registry, engine, item):
+def _fits(placer, registry, engine, item):
     """Whether an order for an item may be given now, beside all that may be there."""
-    items = p.ledger.engines.get(engine.name, {})
-    if item in items or (engine.name, item) in p.plan.refused_ms:
+    items = placer.ledger.engines.get(engine.name, {})
+    if item in items or (engine.name, item) in placer.plan.refused_ms:
         return False
-    if not _may_order(p, engine.name):
+    if not _may_order(placer, engine.name):
         return False
     base = item.partition("/")[0]
-    if "/" in item and not ledgers.is_loaded(p.ledger, engine.name, base):
+    if "/" in item and not ledgers.is_loaded(placer.ledger, engine.name, base):
         return False
     size = registry_view.item_size(registry, item)
-    usedMb, used_places = registry_view.charged(registry, p.ledger, engine.name)
+    usedMb, used_places = registry_view.charged(registry, placer.ledger, engine.name)
     return (
         size is not None
         and usedMb + size[0] <= engine.roomMb
@@ -146,12 +153,12 @@
     )
 
 
-def _load(p, now_ms, registry, engine, item, name, service):
+def _load(placer, now_ms, registry, engine, item, name, service):
     """Order it, if the store bears it."""
-    if not store_allows(p, now_ms, name, service["loads"]):
+    if not store_allows(placer, now_ms, name, service["loads"]):
         return False
     size = registry_view.item_size(registry, item)
-    give_order(p, engine, item, "load", size[0], size[1], name)
+    give_order(placer, engine, item, "load", size[0], size[1], name)
     return True
 
 
@@ -166,14 +173,14 @@
     return max(told, min(_MOST_TIMES * told, usual))
 
 
-def store_allows(p, now_ms, name, loads):
+def store_allows(placer, now_ms, name, loads):
     """Whether one more load keeps within the service's part of the store; takes it."""
     burst, per_ms = load_queue.store_rate(loads)
-    out = ledgers.open_loads(p.ledger, name, loads.get("adapters", True))
-    if out >= _at_once(loads, per_ms * p.plan.load_ms.get(name, 0.0)):
+    out = ledgers.open_loads(placer.ledger, name, loads.get("adapters", True))
+    if out >= _at_once(loads, per_ms * placer.plan.load_ms.get(name, 0.0)):
         return False
-    tokens, at_ms = p.plan.tokens.get(name, (burst if p.epoch == 1 else 0.0, now_ms))
+    tokens, at_ms = placer.plan.tokens.get(name, (burst if placer.epoch == 1 else 0.0, now_ms))
     tokens = min(burst, tokens + (now_ms - at_ms) * per_ms)
     allowed = tokens >= 1
-    p.plan.tokens[name] = (tokens - 1 if allowed else tokens, now_ms)
+    placer.plan.tokens[name] = (tokens - 1 if allowed else tokens, now_ms)
     return allowed
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -22,15 +22,15 @@
 class PlacerSettings:
     """All in ms, ratios of the bounds in config."""
 
-    call_ms: float
-    report_ms: float
-    dark_ms: float
+    call_timeout_ms: float
+    report_interval_ms: float
+    unreachable_ms: float
     turnMs: float = 0.0
-    list_ms: float = 1000.0
+    list_interval_ms: float = 1000.0
     lagMs: float = 0.0
     checkpoint_records: int = 2000
-    holds_max: int = 2000
-    holds_per_model: int = 200
+    max_holds: int = 2000
+    max_holds_per_model: int = 200
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     engine: str
     item: str
     order: str
-    asked_ms: float
+    sent_ms: float
     expected: int | None = None
 
 
@@ -67,7 +67,7 @@
     """Of callers who wait: `since_ms` by id, and `hope_ms`, when each was told to be served."""
 
     since_ms: dict = field(default_factory=dict)
-    hope_ms: dict = field(default_factory=dict)
+    estimated_ms: dict = field(default_factory=dict)
 
 
 @dataclass
@@ -79,21 +79,23 @@
     shard: int
     epoch: int
     held: shard_log.ShardLog
-    own: bool = False
+    held_before: bool = False
     ledger: ledgers.Ledger = field(default_factory=ledgers.Ledger)
     not_before_ms: float = float("inf")
     engines: dict = field(default_factory=dict)
     demand: demands.Demand = field(default_factory=demands.Demand)
     plan: PlanState = field(default_factory=PlanState)
-    line: WaitQueueState = field(default_factory=WaitQueueState)
+    wait_queue: WaitQueueState = field(default_factory=WaitQueueState)
     calls: dict = field(default_factory=dict)
     report_count: int = 0
-    watch: attempt_outcomes.OutcomeHistory = field(default_factory=attempt_outcomes.OutcomeHistory)
+    outcome_history: attempt_outcomes.OutcomeHistory = field(
+        default_factory=attempt_outcomes.OutcomeHistory
+    )
     notes: list = field(default_factory=list)
     summary_ms: float = float("-inf")
 
 
-def append_record(p, record, then=None):
+def append_record(placer, record, then=None):
     """Apply a record to our own ledger and append it; `then` waits for DURABLE."""
-    ledgers.apply(p.ledger, record)
-    shard_log.append(p.held, record, then)
+    ledgers.apply(placer.ledger, record)
+    shard_log.append(placer.held, record, then)
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -27,64 +27,70 @@
 _LONGEST_TIMES = 4
 
 
-def record_outcomes(watch, now_ms, told, fade_ms):
+def record_outcomes(history, now_ms, told, fade_ms):
     """A router's word: {engine: (good, bad, late)}, how many attempts ended so."""
     for engine, (good, bad, late) in told.items():
-        outcomes = watch.outcomes.setdefault(engine, Outcomes(at_ms=now_ms))
+        outcomes = history.outcomes.setdefault(engine, Outcomes(at_ms=now_ms))
         outcomes.add(now_ms, fade_ms, good, bad, late)
 
 
-def update_suspects(placer, now_ms, registry, shards, terms):
+def update_suspects(placer, now_ms, registry, shards, settings):
     """Log who is suspect from now on, and who is tried again."""
     for name in registry_view.services_of(registry, placer.shard, shards):
         engines = [engine["name"] for engine in registry_view.engines_of(registry, name)]
-        _clear(placer, now_ms, engines, terms)
-        _suspect(placer, now_ms, engines, terms)
+        _clear(placer, now_ms, engines, settings)
+        _suspect(placer, now_ms, engines, settings)
     _forget(placer, registry)
 
 
-def _clear(placer, now_ms, engines, terms):
+def _clear(placer, now_ms, engines, settings):
     """A holder that has just taken over doesn't know since when: it counts from now."""
-    watch = placer.watch
+    history = placer.outcome_history
     for engine in engines:
         if engine not in placer.ledger.suspects:
             continue
-        known = watch.suspicions.setdefault(engine, Suspicion(now_ms + terms.dark_ms, 1))
+        known = history.suspicions.setdefault(
+            engine, Suspicion(now_ms + settings.unreachable_ms, 1)
+        )
         if now_ms >= known.until_ms:
-            watch.outcomes.pop(engine, None)
+            history.outcomes.pop(engine, None)
             append_record(placer, ledgers.cleared_record(engine))
 
 
-def _suspect(placer, now_ms, engines, terms):
+def _suspect(placer, now_ms, engines, settings):
     most = int(_MOST_SHARE * len(engines))
     suspects = sum(engine in placer.ledger.suspects for engine in engines)
     for engine in engines:
         if suspects >= most:
             return
-        if engine in placer.ledger.suspects or not _bad(placer.watch, now_ms, engine, terms):
+        if engine in placer.ledger.suspects or not _bad(
+            placer.outcome_history, now_ms, engine, settings
+        ):
             continue
-        before = placer.watch.suspicions.get(engine)
-        again = before is not None and now_ms - before.until_ms < 4 * terms.dark_ms
-        times = min(_LONGEST_TIMES, 2 * before.times) if again else 1
-        placer.watch.suspicions[engine] = Suspicion(now_ms + times * terms.dark_ms, times)
+        before = placer.outcome_history.suspicions.get(engine)
+        again = before is not None and now_ms - before.until_ms < 4 * settings.unreachable_ms
+        times = min(_LONGEST_TIMES, 2 * before.backoff_factor) if again else 1
+        placer.outcome_history.suspicions[engine] = Suspicion(
+            now_ms + times * settings.unreachable_ms, times
+        )
         append_record(placer, ledgers.suspect_record(engine))
         suspects += 1
 
 
-def _bad(watch, now_ms, engine, terms):
-    outcomes = watch.outcomes.get(engine)
+def _bad(history, now_ms, engine, settings):
+    outcomes = history.outcomes.get(engine)
     if outcomes is None:
         return False
-    outcomes.add(now_ms, terms.dark_ms)
+    outcomes.add(now_ms, settings.unreachable_ms)
     bad = outcomes.bad
     if outcomes.good < _HARDLY_ANY:
-        bad += outcomes.late
+        bad += outcomes.unanswered
     return bad >= _LEAST_BAD and bad >= _BAD_SHARE * (bad + outcomes.good)
 
 
 def _forget(placer, registry):
-    watch = placer.watch
-    for known in (watch.outcomes, watch.suspicions):
+    history = placer.outcome_history
+    for known in (history.outcomes, history.suspicions):
         for engine in [name for name in known if name not in registry.engines]:
             del known[engine]
     for engine in [name for name in placer.ledger.suspects if name not in registry.engines]:
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -22,8 +22,8 @@
         "oldestMs": round(view.now_ms - min(callers)),
         "engines": len(view.engines),
         "suspects": len(view.placer.ledger.suspects),
-        "runMs": round(1000 * view.placer.demand.run_s),
-        "kept": len(view.placer.demand.making),
+        "runMs": round(1000 * view.placer.demand.request_s),
+        "kept": len(view.placer.demand.reserved),
         "heldUp": dict(Counter(_held_up_by(view, model) for model in missing)),
     }
 
@@ -37,7 +37,7 @@
 
 
 def _reason(view, model, size_mb, name):
-    kept = view.placer.demand.making.items()
+    kept = view.placer.demand.reserved.items()
     if any(engine == name and other != model for other, (engine, _) in kept):
         return "engine kept for another"
     if name not in view.idle:
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -209,11 +209,11 @@
 def terms(config):
     back_ms = config.bounds.serviceBackMs
     return dispatching.PlacerSettings(
-        call_ms=0.08 * back_ms,
-        report_ms=0.15 * config.bounds.leavingMs,
-        dark_ms=config.bounds.leavingMs,
+        call_timeout_ms=0.08 * back_ms,
+        report_interval_ms=0.15 * config.bounds.leavingMs,
+        unreachable_ms=config.bounds.leavingMs,
         turnMs=config.bounds.turnMs,
-        list_ms=max(1000.0 / config.providerPerS, 0.25 * config.bounds.leavingMs),
+        list_interval_ms=max(1000.0 / config.providerPerS, 0.25 * config.bounds.leavingMs),
         lagMs=config.providerLagMs,
     )
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -76,7 +76,7 @@
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, own=part.before == card.name)
+                else Placer(shard, part.epoch, held, held_before=part.before == card.name)
             )
             effects.append(Note("holds", {"shard": shard, "epoch": part.epoch}, True))
         elif kept and not mine and part.epoch > kept.epoch:
--- a/libs/routing/src/routing/engine_lives.py
+++ b/libs/routing/src/routing/engine_lives.py
@@ -35,7 +35,7 @@
 
 def _touched(r, floor):
     """The engines that have changed since the last look, or None if any may have."""
-    news = floor.ledger_news
+    news = floor.ledger_change
     if news is None or news.number != floor.changes or r.noticed_changes != news.number - 1:
         return None
     return news.engines
--- a/libs/simulation/src/simulation/engine_orders/settings.py
+++ b/libs/simulation/src/simulation/engine_orders/settings.py
@@ -9,7 +9,9 @@
 
 ENGINE, SERVICE = "e0", "service"
 # Every step takes longer than any bound, so that only the order of steps matters.
-TERMS = state.PlacerSettings(call_ms=1.0, report_ms=1.0, dark_ms=0.5, turnMs=0.0, lagMs=0.0)
+TERMS = state.PlacerSettings(
+    call_timeout_ms=1.0, report_interval_ms=1.0, unreachable_ms=0.5, turnMs=0.0, lagMs=0.0
+)
 _PARTNER, _ZONE = "partner", "zone"
 
 
--- a/libs/simulation/src/simulation/placing.py
+++ b/libs/simulation/src/simulation/placing.py
@@ -13,7 +13,7 @@
 __all__ = ["TERMS", "Late", "PlainEngine", "Scene", "Stale", "engine_facts"]
 
 TERMS = state.PlacerSettings(
-    call_ms=960.0, report_ms=450.0, dark_ms=3000.0, turnMs=0.0, lagMs=300.0
+    call_timeout_ms=960.0, report_interval_ms=450.0, unreachable_ms=3000.0, turnMs=0.0, lagMs=300.0
 )
 SHARDS = 4
 _TICK_MS = 40.0
--- a/tests/test_adapters_first.py
+++ b/tests/test_adapters_first.py
@@ -1,7 +1,7 @@
 """Adapters come up in a moment, but an engine carries out one order at a time: callers of an
 adapter don't wait behind one load of a model after another, however urgent those are."""
 
-from test_platform_asked import ADAPTERS, Floor
+from test_platform_asked import ADAPTERS, DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
@@ -12,7 +12,7 @@
 RARE_WAITS_MS = 9000
 
 
-class Crowded(Floor):
+class Crowded(DemandScenario):
     """More rare models are waited for, by the most urgent class, than engines can load; the
     first model is up and its adapters are asked for as well."""
 
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -20,10 +20,10 @@
 
 class Run(TestCase):
     def learned(self, running, asked, seconds=60, start_s=0.6):
-        d = demand.Demand(run_s=start_s)
+        d = demand.Demand(request_s=start_s)
         for n in range(seconds * 10):
             demand.learn_request_time(d, 100.0 * n, running, asked)
-        return d.run_s
+        return d.request_s
 
     def test_it_is_what_runs_by_what_is_asked(self):
         self.assertThat(abs(self.learned(30, 100.0) - 0.3), LessThan(0.01))
@@ -34,7 +34,7 @@
         d = demand.Demand()
         demand.learn_request_time(d, 0.0, 20, 100.0)
         demand.learn_request_time(d, 10.0, 400, 100.0)
-        self.assertThat(d.run_s, LessThan(0.65))
+        self.assertThat(d.request_s, LessThan(0.65))
 
     def test_it_stays_within_bounds(self):
         self.assertThat(self.learned(0, 100.0), GreaterThan(0.09))
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engines_noticed.py
@@ -131,6 +131,6 @@
         if looks:
             looking.noticed_changes = -1
             router.wake(sparing, 250.0 * number, floor, 0.0, crew)
-            untold = dataclasses.replace(floor, ledger_news=None)
+            untold = dataclasses.replace(floor, ledger_change=None)
             router.wake(looking, 250.0 * number, untold, 0.0, crew)
             assert known(sparing) == known(looking)
--- a/tests/test_lost_models.py
+++ b/tests/test_lost_models.py
@@ -3,7 +3,7 @@
 
 from placement import ledger
 from simulation.placing import TERMS
-from test_platform_asked import Floor
+from test_platform_asked import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
@@ -17,7 +17,7 @@
 class Lost(TestCase):
     def until_known_ms(self, phase):
         """How long the ledger is wrong if an engine loses all, so many steps after a start."""
-        floor = Floor(1, engines=3)
+        floor = DemandScenario(1, engines=3)
         engine = floor.scene.engines["e0"]
         (model,) = engine.items
         for _ in range(100 + phase):
@@ -31,11 +31,15 @@
     # The second report that has to lack an item came as late as one of an engine that is well.
     def test_the_second_report_follows_the_first(self):
         longest_ms = max(self.until_known_ms(phase) for phase in range(0, 60, 3))
-        most_ms = (_CALM_REPORTS + _SECOND_REPORTS) * TERMS.report_ms + TERMS.lagMs + 2 * _TICK_MS
+        most_ms = (
+            (_CALM_REPORTS + _SECOND_REPORTS) * TERMS.report_interval_ms
+            + TERMS.lagMs
+            + 2 * _TICK_MS
+        )
         self.assertThat(longest_ms, LessThan(most_ms))
 
     def test_reports_are_seldom_again_afterwards(self):
-        floor = Floor(1, engines=3)
+        floor = DemandScenario(1, engines=3)
         floor.scene.engines["e0"].items = set()
         for _ in range(300):
             floor.step()
@@ -43,5 +47,5 @@
         for _ in range(300):
             floor.step()
         reports = [call for _, call in floor.scene.calls if call.engine == "e0"]
-        calm = 300 * _TICK_MS / (_CALM_REPORTS * TERMS.report_ms)
+        calm = 300 * _TICK_MS / (_CALM_REPORTS * TERMS.report_interval_ms)
         self.assertThat(len(reports), LessThan(calm + 2))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-TERMS = state.PlacerSettings(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
+TERMS = state.PlacerSettings(call_timeout_ms=900.0, report_interval_ms=400.0, unreachable_ms=3000.0)
 
 
 class Moves(TestCase):
--- a/tests/test_order_notes.py
+++ b/tests/test_order_notes.py
@@ -3,7 +3,7 @@
 import test_platform_again
 from placement import order_notes, placer
 from simulation.placing import SHARDS, TERMS
-from test_platform_asked import Floor
+from test_platform_asked import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan
 from transport.effects import Note
@@ -55,7 +55,7 @@
 
 class Waiting(TestCase):
     def test_who_waits_and_why_is_told_once_a_second(self):
-        floor = Floor(1, models=20, engines=3)
+        floor = DemandScenario(1, models=20, engines=3)
         seen = []
         kept = floor.scene._do
         floor.scene._do = lambda effects: (seen.extend(effects), kept(effects))
--- a/tests/test_order_proofs.py
+++ b/tests/test_order_proofs.py
@@ -9,7 +9,7 @@
 import test_platform_again
 from placement import engine_view, registry_view
 from simulation.placing import TERMS, Late, Stale
-from test_platform_asked import Floor
+from test_platform_asked import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 from transport.events import Called
@@ -82,7 +82,7 @@
 class Overlapping(TestCase):
     def test_each_call_for_a_report_has_an_id_of_its_own(self):
         """One that is answered after the next was made is judged by its own time."""
-        floor = Floor(1)
+        floor = DemandScenario(1)
         floor.scene._answers = lambda call: Stale(1e9) if call.verb == "report" else None
         for _ in range(100):
             floor.step()
@@ -95,7 +95,7 @@
     """Whole floors on which such answers come now and then: no load is beyond the room."""
 
     def broken(self, seed, answers):
-        floor = Floor(seed, models=20, answers=answers)
+        floor = DemandScenario(seed, models=20, answers=answers)
         moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
         for items in moving[:6]:
             floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
@@ -117,7 +117,7 @@
         def answers_for(rng):
             def answers(call):
                 late = call.verb == "report" and rng.random() < 0.5
-                return Stale(rng.uniform(0, 4 * TERMS.call_ms)) if late else None
+                return Stale(rng.uniform(0, 4 * TERMS.call_timeout_ms)) if late else None
 
             return answers
 
@@ -145,7 +145,7 @@
 
     def test_it_is_looked_at_again_after_a_while(self):
         self.answer(self.give("unload"), 421)
-        self.now_ms += TERMS.dark_ms
+        self.now_ms += TERMS.unreachable_ms
         self.told(["other", self.model])
         self.assertThat((self.usable(), self.state()), Equals((["e0"], "loaded")))
 
@@ -188,10 +188,10 @@
             if call.verb == "report":
                 return None
             if rng.random() < 0.15:
-                return Late(TERMS.call_ms, rng.uniform(0.0, 5000.0))
+                return Late(TERMS.call_timeout_ms, rng.uniform(0.0, 5000.0))
             return "unsent" if rng.random() < 0.2 else None
 
-        floor = Floor(seed, models=20, answers=answers)
+        floor = DemandScenario(seed, models=20, answers=answers)
         moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
         for items in moving[:6]:
             floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
--- a/tests/test_orders_late.py
+++ b/tests/test_orders_late.py
@@ -5,7 +5,7 @@
 
 from placement import engine_view
 from simulation.placing import TERMS, Late
-from test_platform_asked import Floor
+from test_platform_asked import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 
@@ -20,14 +20,14 @@
         chosen = again if given_again else first
         if call.verb == "report" or not chosen or rng.random() > share:
             return None
-        return Late(TERMS.call_ms, rng.uniform(0.0, 5000.0))
+        return Late(TERMS.call_timeout_ms, rng.uniform(0.0, 5000.0))
 
     return answers
 
 
 class HeldUp(TestCase):
     def played(self, seed, **which):
-        floor = Floor(seed, models=20, answers=held_up(random.Random(seed), 0.15, **which))
+        floor = DemandScenario(seed, models=20, answers=held_up(random.Random(seed), 0.15, **which))
         moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
         for items in moving[:6]:
             floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
--- a/tests/test_platform_again.py
+++ b/tests/test_platform_again.py
@@ -212,7 +212,7 @@
                 self.registry,
                 self.service,
                 TERMS,
-                self.now_ms + TERMS.call_ms - 1,
+                self.now_ms + TERMS.call_timeout_ms - 1,
             ),
             Equals([]),
         )
--- a/tests/test_platform_asked.py
+++ b/tests/test_platform_asked.py
@@ -14,7 +14,7 @@
 ADAPTERS = 2
 
 
-class Floor:
+class DemandScenario:
     """Engines, callers that want things, and a placer between them."""
 
     def __init__(
@@ -137,7 +137,7 @@
     def test_many_models_on_few_engines(self):
         """Few are asked for often, many seldom: all come up, nothing overflows."""
         for seed in range(4):
-            floor = Floor(seed)
+            floor = DemandScenario(seed)
             self.assertThat(len(floor.items), GreaterThan(14))
             floor.run(60, self.zipf(floor))
             floor.run(20, lambda rng: None)
@@ -150,7 +150,7 @@
     def test_all_at_once(self):
         """Every model and adapter is wanted at one moment and until it was there."""
         for seed in range(4):
-            floor = Floor(seed, models=20, engines=3)
+            floor = DemandScenario(seed, models=20, engines=3)
             for item in floor.items:
                 floor.ask(item)
             floor.run(90, lambda rng: None)
@@ -159,13 +159,13 @@
 
     def test_a_slow_store(self):
         for per_s in (0.5, 1.0, 2.0):
-            floor = Floor(7, per_s=per_s, loadS=2.0)
+            floor = DemandScenario(7, per_s=per_s, loadS=2.0)
             floor.run(40, self.zipf(floor))
             self.checked(floor)
             self.assertThat(len(floor.came_up), GreaterThan(3), str(per_s))
 
     def test_demand_that_moves(self):
-        floor = Floor(8, models=24)
+        floor = DemandScenario(8, models=24)
         for start in (0, 10, 20, 30):
             part = (floor.items[start:] + floor.items)[:10]
             floor.run(15, lambda rng, part=part: rng.choice(part))
@@ -183,7 +183,7 @@
                 told = rng.choice([409, 412, 503, "lost", "lost", "unsent"])
                 return Called(call.id, told, {}) if isinstance(told, int) else told
 
-            floor = Floor(seed, answers=answers)
+            floor = DemandScenario(seed, answers=answers)
             floor.run(40, self.zipf(floor))
             floor.scene._answers = lambda call: None
             floor.run(40, lambda rng: None)
@@ -193,7 +193,7 @@
     def test_no_order_to_an_engine_that_is_not_usable(self):
         """Engines leave, and a zone is evacuated, while loads are under way."""
         for seed in range(3):
-            floor, wrong = Floor(seed), []
+            floor, wrong = DemandScenario(seed), []
             for round_ in range(6):
                 floor.run(3, self.zipf(floor))
                 before = len(floor.scene.calls)
@@ -221,7 +221,7 @@
     def test_loads_that_take_long_do_not_hold_up_others(self):
         """Engines that are busy or slow load for longer than the store's rate takes: what it
         bears in a second is used all the same, and no more."""
-        floor = Floor(5, models=40, engines=12, per_s=6.0, loadS=0.6)
+        floor = DemandScenario(5, models=40, engines=12, per_s=6.0, loadS=0.6)
         for engine in floor.scene.engines.values():
             engine.loadMs = 2400.0
             engine.items.clear()
--- a/tests/test_platform_roster.py
+++ b/tests/test_platform_roster.py
@@ -9,7 +9,9 @@
 from testtools.matchers import Equals
 from transport.events import Called
 
-TERMS = PlacerSettings(call_ms=100.0, report_ms=100.0, dark_ms=1000.0, list_ms=200.0)
+TERMS = PlacerSettings(
+    call_timeout_ms=100.0, report_interval_ms=100.0, unreachable_ms=1000.0, list_interval_ms=200.0
+)
 
 
 def entry(name, **facts):
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -7,7 +7,7 @@
 import random
 
 from placement import ledger
-from test_platform_asked import Floor
+from test_platform_asked import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
@@ -71,7 +71,7 @@
 
 def play(seed, seconds=40, engines=12, rare=36, pause_s=4.0, loadS=0.6):
     """Popular models asked for 25 times a second each, and callers of rare ones."""
-    floor = Floor(
+    floor = DemandScenario(
         seed,
         models=_POPULAR + rare,
         engines=engines,
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,14 +5,13 @@
 
 from placement import ledger as ledgers
 from placement import registry_view, suspects
-from placement.cluster_state import ClusterState as RoutingFloor
-from placement.cluster_state import engines_with
+from placement.cluster_state import ClusterState, engines_with
 from placement.state import append_record
 from routing import choice, engine_outcomes, router
 from routing.legs import Ended
 from routing.tasks import Leg
 from simulation.placing import SHARDS, TERMS
-from test_platform_asked import ClusterState
+from test_platform_asked import DemandScenario
 from test_platform_relaying import PLAIN, STREAM, Relayed, data, event, head
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -34,7 +33,7 @@
 
     def setUp(self):
         super().setUp()
-        self.floor = ClusterState(1, engines=6)
+        self.floor = DemandScenario(1, engines=6)
         self.ledger = self.floor.scene.p.ledger
         self.floor.step()
 
@@ -50,7 +49,7 @@
             (8, 3.1, {}),
             (100, 5, {}),
         ):
-            self.floor = ClusterState(1, engines=6)
+            self.floor = DemandScenario(1, engines=6)
             self.floor.step()
             outcomes_of(self.floor, {"e0": (good, bad, 0)})
             self.floor.step()
@@ -59,7 +58,7 @@
     def test_no_answer_counts_only_of_an_engine_that_gives_none(self):
         """One that is overloaded answers some; leaving it out would overload the others."""
         for good, late, expected in ((0, 4, {"e0": True}), (1, 4, {}), (1, 40, {})):
-            self.floor = ClusterState(1, engines=6)
+            self.floor = DemandScenario(1, engines=6)
             self.floor.step()
             outcomes_of(self.floor, {"e0": (good, 0, late)})
             self.floor.step()
@@ -68,7 +67,7 @@
     def test_bad_ends_fade(self):
         for _ in range(6):
             outcomes_of(self.floor, {"e0": (0, 1, 0)})
-            self.steps(2 * TERMS.dark_ms)
+            self.steps(2 * TERMS.unreachable_ms)
         self.assertThat(self.ledger.suspects, Equals({}))
 
     def test_it_is_tried_again_and_then_left_out_for_longer(self):
@@ -80,7 +79,7 @@
             self.assertThat("e0" in self.ledger.suspects, Equals(True))
             while "e0" in self.ledger.suspects:
                 self.floor.step()
-            times.append(round((self.floor.scene.now_ms - start_ms) / TERMS.dark_ms))
+            times.append(round((self.floor.scene.now_ms - start_ms) / TERMS.unreachable_ms))
         self.assertThat(times, Equals([1, 2, 4, 4]))
 
     def test_no_more_than_a_third_at_a_time(self):
@@ -97,9 +96,9 @@
 
     def test_a_new_holder_tries_them_again_in_time(self):
         append_record(self.floor.scene.p, ledgers.suspect_record("e1"))
-        self.steps(0.8 * TERMS.dark_ms)
+        self.steps(0.8 * TERMS.unreachable_ms)
         self.assertThat(self.ledger.suspects, Equals({"e1": True}))
-        self.steps(0.5 * TERMS.dark_ms)
+        self.steps(0.5 * TERMS.unreachable_ms)
         self.assertThat(self.ledger.suspects, Equals({}))
 
 
@@ -109,7 +108,7 @@
 
     def served(self, seed, bad_engine="e0"):
         """{subject: (tries, served)} of twelve seconds."""
-        floor = ClusterState(seed, engines=4)
+        floor = DemandScenario(seed, engines=4)
         scene, rng = floor.scene, random.Random(seed)
         models = [item for item in floor.items if "/" not in item][:1]
         for engine in scene.engines.values():
@@ -117,7 +116,7 @@
         for _ in range(40):
             floor.step()
         shard = registry_view.shard_of(floor.name, SHARDS)
-        routes = RoutingFloor(SHARDS, registry=floor.registry)
+        routes = ClusterState(SHARDS, registry=floor.registry)
         routes.ledgers[shard] = scene.p.ledger
         routers, found = router.Router(ROUTING), {n: [0, 0] for n in range(SUBJECTS)}
         told_ms = scene.now_ms
@@ -167,13 +166,13 @@
 class Placed(TestCase):
     def test_what_a_suspect_holds_comes_up_elsewhere(self):
         for seed in SEEDS:
-            floor = ClusterState(seed, engines=6)
+            floor = DemandScenario(seed, engines=6)
             for _ in range(20):
                 floor.step()
             only = [i for i in floor.scene.engines["e0"].items if "/" not in i][0]
             outcomes_of(floor, {"e0": (0, 9, 0)})
             floor.step()
-            routes = RoutingFloor(SHARDS, registry=floor.registry)
+            routes = ClusterState(SHARDS, registry=floor.registry)
             routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
             self.assertThat(engines_with(routes, floor.name, only), Equals([]))
             floor.scene.command(
@@ -196,8 +195,8 @@
             self.assertThat("e0" in names, Equals(False))
 
     def test_a_plain_service_is_never_left_without_engines(self):
-        floor = ClusterState(2)
-        routes = RoutingFloor(SHARDS, registry=floor.registry)
+        floor = DemandScenario(2)
+        routes = ClusterState(SHARDS, registry=floor.registry)
         ledger = routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
         for name in floor.scene.engines:
             ledger.suspects[name] = True
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -119,7 +119,9 @@
 
     def test_a_gone_engines_load_still_counts_for_a_while(self):
         """Taken off the list while it loads: the store may still be serving it."""
-        terms = state.PlacerSettings(call_ms=900.0, report_ms=400.0, dark_ms=3000.0)
+        terms = state.PlacerSettings(
+            call_timeout_ms=900.0, report_interval_ms=400.0, unreachable_ms=3000.0
+        )
         p = state.Placer(1, 1, shard_log.ShardLog(1, 1, ready=True))
         state.append_record(p, ledger.found_record("e0", "i", {}, "g"))
         state.append_record(p, ledger.order_record("e0", "m", "load", "1.1.1", 5, 0, "g"))
