--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -21,12 +21,12 @@
 
 FADE_MS = 8000.0
 # What is owed fades so slowly that callers who come every some seconds add up.
-_OWED_FADE_MS = 4 * FADE_MS
+_UNSERVED_FADE_MS = 4 * FADE_MS
 # Over how long the time of a request at its engine is averaged, and its bounds.
-_RUN_FADE_MS = FADE_MS / 2
-_RUN_LEAST_S, _RUN_MOST_S = 0.1, 4.0
+_REQUEST_TIME_FADE_MS = FADE_MS / 2
+_MIN_REQUEST_S, _MAX_REQUEST_S = 0.1, 4.0
 # With fewer askings a second nothing is learned from what runs.
-_FEW_ASKED = 4.0
+_MIN_SAMPLE_RATE = 4.0
 
 
 @dataclass(frozen=True)
@@ -68,11 +68,11 @@
 def learn_request_time(demand, now_ms, running, asked):
     """`running` requests are at the engines while `asked` come a second: by Little's law each
     is there for their ratio.  Single values are chance, so they are averaged over a while."""
-    if asked < _FEW_ASKED:
+    if asked < _MIN_SAMPLE_RATE:
         return
     since_ms = 0.0 if demand.request_learned_ms is None else now_ms - demand.request_learned_ms
-    share = 1 - math.exp(-since_ms / _RUN_FADE_MS)
-    seen_s = min(_RUN_MOST_S, max(_RUN_LEAST_S, running / asked))
+    share = 1 - math.exp(-since_ms / _REQUEST_TIME_FADE_MS)
+    seen_s = min(_MAX_REQUEST_S, max(_MIN_REQUEST_S, running / asked))
     demand.request_s, demand.request_learned_ms = (
         demand.request_s + share * (seen_s - demand.request_s),
         now_ms,
@@ -89,7 +89,7 @@
     known = demand.unserved.get(item)
     if known is None:
         return 0.0
-    return known.callers * math.exp(-max(0.0, now_ms - known.at_ms) / _OWED_FADE_MS)
+    return known.callers * math.exp(-max(0.0, now_ms - known.at_ms) / _UNSERVED_FADE_MS)
 
 
 def clear_unserved(demand, item):
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -25,12 +25,12 @@
 __all__ = ["plan"]
 
 # The longest that an engine is kept for an item that it makes room for.
-_MAKING_MS = 9600.0
-_MOST_RATES = 4096
+_MAX_RESERVATION_MS = 9600.0
+_MAX_RATES = 4096
 _PAUSE_MS = 60.0
-_LET_GO = 1.5
-_SEED = 16.0
-_BESIDE = 0.2
+_EXTRA_COPY_MARGIN = 1.5
+_SEED_RATE = 16.0
+_SAME_ZONE_COST = 0.2
 
 
 def plan(placer, now_ms, registry, name, service, settings):
@@ -45,21 +45,21 @@
     idle = {name for name in engines if demand_view.is_idle(placer, now_ms, name)}
     if not idle and not order_notes.summary_due(placer, now_ms):
         return
-    view = _view(placer, now_ms, registry, name, service, engines, idle)
+    view = _build_view(placer, now_ms, registry, name, service, engines, idle)
     if idle:
-        _forget(view)
-        _bring_all(view)
+        _expire_reservations(view)
+        _place_missing(view)
     if view.waiting:
         order_notes.log_summary(placer, now_ms, name, lambda: waiting_summary.summarize(view))
 
 
-def _view(placer, now_ms, registry, name, service, engines, idle):
+def _build_view(placer, now_ms, registry, name, service, engines, idle):
     copies = demand_view.copies_of(placer, engines)
     waiting = demand_view.waiting_requests(placer, now_ms, name)
     view = DemandView(placer, now_ms, registry, name, service, engines, copies, waiting, idle=idle)
     view.wanted = demand_view.wanted_items(view)
     if not placer.demand.seeded:
-        _seed(view)
+        _seed_rates(view)
     view.rates = demand_view.request_rates(placer.demand, now_ms)
     view.adapter_rates = demand_view.adapter_rates(view.rates)
     view.hosts = demand_view.hosts_of(placer, engines)
@@ -70,7 +70,7 @@
     return view
 
 
-def _bring_all(view):
+def _place_missing(view):
     """Adapters first, which come up in a moment but wait behind any load of a model; then
     what is asked for most, what is waited for by claim, and more copies."""
     missing = [
@@ -80,41 +80,43 @@
     ]
     claims = {item: demand_view.priority(view, item) for item in missing}
     by_claim = sorted(claims, key=lambda i: (-claims[i], i))
-    _bring_each(view, [i for i in by_claim if "/" in i], claims)
-    _more_copies(view, eviction.needed_copies, 1.0)
-    _bring_each(view, [i for i in by_claim if "/" not in i], claims)
-    _more_copies(view, eviction.wanted_copies, eviction.SPARE)
+    _place_items(view, [i for i in by_claim if "/" in i], claims)
+    _add_copies(view, eviction.needed_copies, 1.0)
+    _place_items(view, [i for i in by_claim if "/" not in i], claims)
+    _add_copies(view, eviction.wanted_copies, eviction.SPARE_COPY_FACTOR)
 
 
-def _bring_each(view, items, claims):
+def _place_items(view, items, claims):
     for item in items:
         if not view.idle:
             return
-        _bring(view, item, claims[item])
+        _place_item(view, item, claims[item])
 
 
-def _seed(view):
+def _seed_rates(view):
     """Before anybody has told what is asked for, many copies speak of much demand."""
     view.placer.demand.seeded = True
     for model, copies in view.copies.items():
         if "/" not in model:
-            record_requests(view.placer.demand, view.now_ms, model, _SEED * (0.1 + copies - 1))
+            record_requests(view.placer.demand, view.now_ms, model, _SEED_RATE * (0.1 + copies - 1))
 
 
-def _forget(view):
+def _expire_reservations(view):
     """Engines are no longer kept for what nobody waits for any more."""
     demand = view.placer.demand
     demand.reserved = {
         item: (engine, since_ms)
         for item, (engine, since_ms) in demand.reserved.items()
-        if engine in view.engines and view.now_ms - since_ms < _MAKING_MS and _wished(view, item)
+        if engine in view.engines
+        and view.now_ms - since_ms < _MAX_RESERVATION_MS
+        and _is_wanted(view, item)
     }
-    if len(demand.rates) > _MOST_RATES:
+    if len(demand.rates) > _MAX_RATES:
         least_ms = view.now_ms - 8 * FADE_MS
         demand.rates = {i: r for i, r in demand.rates.items() if r[1] > least_ms}
 
 
-def _wished(view, item):
+def _is_wanted(view, item):
     """Whether an item is to come up, or to have one more copy."""
     copies = view.copies.get(item, 0)
     if not copies:
@@ -122,19 +124,19 @@
     return copies < eviction.wanted_copies(view, item)
 
 
-def _bring(view, item, most):
+def _place_item(view, item, most):
     """Have an item come up somewhere, if it isn't up or on its way."""
     if view.copies.get(item):
         return
     model, _, adapter = item.partition("/")
     if adapter:
         if view.copies.get(model):
-            _bring_adapter(view, item, model)
+            _place_adapter(view, item, model)
         return
-    _bring_model(view, item, (), most)
+    _place_model(view, item, (), most)
 
 
-def _bring_adapter(view, item, model):
+def _place_adapter(view, item, model):
     hosts = [n for n in view.hosts.get(model, ()) if n in view.idle]
     size = registry_view.item_size(view.registry, item)
 
@@ -155,10 +157,10 @@
     ]
     if found:
         _, _, name, out = min(found)
-        _give(view, name, item, out)
+        _order_next_step(view, name, item, out)
 
 
-def _held_up(view, name):
+def _blocked_adapter_rate(view, name):
     """Askings a second for adapters that no engine could bring up while this one loads: it
     carries out one order at a time, and its models' other hosts are busy."""
     return sum(
@@ -169,7 +171,7 @@
     )
 
 
-def _bring_model(view, model, beside, most):
+def _place_model(view, model, beside, most):
     """Choose the engine where a model costs least, and take the next step there."""
     size_mb = registry_view.item_size(view.registry, model)[0]
     kept = view.placer.demand.reserved.get(model)
@@ -190,7 +192,9 @@
         zones = sum(1 for n in beside if view.engines[n].zone == view.engines[name].zone)
         found.append(
             (
-                pushed[0] * (0.6 if known else 1.0) + _BESIDE * zones + _held_up(view, name),
+                pushed[0] * (0.6 if known else 1.0)
+                + _SAME_ZONE_COST * zones
+                + _blocked_adapter_rate(view, name),
                 not known,
                 weight(model, name),
                 name,
@@ -200,10 +204,10 @@
     if found:
         name, out = min(found)[3:]
         view.placer.demand.reserved.setdefault(model, (name, view.now_ms))
-        _give(view, name, model, out)
+        _order_next_step(view, name, model, out)
 
 
-def _give(view, name, item, out):
+def _order_next_step(view, name, item, out):
     """Push out what is in the way, or load if nothing is and the store bears it."""
     items = view.placer.ledger.engines.get(name, {})
     if out:
@@ -228,7 +232,7 @@
     view.placer.demand.reserved.pop(item, None)
 
 
-def _more_copies(view, copies_of, share):
+def _add_copies(view, copies_of, share):
     """One more copy of each model that has fewer than `copies_of` says, where that costs less
     than it brings, a `share` of what is asked of it; most asked for first."""
     if not view.idle:
@@ -242,5 +246,5 @@
         if not view.idle:
             return
         beside = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
-        most = -asked * share / (1 + view.copies[model]) / _LET_GO
-        _bring_model(view, model, beside, most)
+        most = -asked * share / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
+        _place_model(view, model, beside, most)
--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -21,16 +21,16 @@
 ]
 
 # A claim's least, and what each caller adds for a second that it has waited.
-_LEAST = 0.4
-_EACH = 0.4
+_BASE_PRIORITY = 0.4
+_PER_REQUEST = 0.4
 # What one who has waited in vain counts beside one who waits.
-_IN_VAIN = 1.0
+_UNSERVED_WEIGHT = 1.0
 # Callers who left unserved: with fewer nothing is brought up for those to come.
-_STILL_OWED = 0.5
+_MIN_UNSERVED = 0.5
 # How much less a caller counts for each class that is more urgent than its own.
-_LESS_URGENT = 0.2
+_CLASS_DISCOUNT = 0.2
 # Askings a second that make no difference any more.
-_FORGOTTEN = 0.001
+_MIN_RATE = 0.001
 
 
 @dataclass
@@ -59,7 +59,7 @@
 def request_rates(demand, now_ms):
     """item -> askings a second, of what has been asked for lately at all."""
     rates = {item: request_rate(demand, now_ms, item) for item in demand.rates}
-    return {item: asked for item, asked in rates.items() if asked > _FORGOTTEN}
+    return {item: asked for item, asked in rates.items() if asked > _MIN_RATE}
 
 
 def adapter_rates(rates):
@@ -78,7 +78,7 @@
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] == name:
             since_ms = placer.wait_queue.since_ms.get(id_, now_ms)
-            caller = since_ms, 1 / (1 + _LESS_URGENT * rank_of(hold["class"]))
+            caller = since_ms, 1 / (1 + _CLASS_DISCOUNT * rank_of(hold["class"]))
             for item in {hold["model"], item_name(hold["model"], hold["adapter"])}:
                 found.setdefault(item, []).append(caller)
     return found
@@ -91,7 +91,7 @@
     owing = {
         item
         for item, known in demand.unserved.items()
-        if known.service == view.name and unserved(demand, view.now_ms, item) > _STILL_OWED
+        if known.service == view.name and unserved(demand, view.now_ms, item) > _MIN_UNSERVED
     }
     return owing | view.waiting.keys()
 
@@ -117,8 +117,8 @@
     oldest_ms = min(since_ms for since_ms, _ in callers)
     waited_s = (view.now_ms - oldest_ms) / 1000
     waiting = sum(weight for _, weight in callers) * (1 + waited_s)
-    in_vain = _IN_VAIN * unserved(view.placer.demand, view.now_ms, item)
-    return _LEAST + _EACH * (waiting + in_vain)
+    in_vain = _UNSERVED_WEIGHT * unserved(view.placer.demand, view.now_ms, item)
+    return _BASE_PRIORITY + _PER_REQUEST * (waiting + in_vain)
 
 
 def hosts_of(placer, engines):
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -14,13 +14,13 @@
 
 __all__ = ["call", "repeats_due", "on_order_response", "order_body"]
 
-_ADAPTER_MS = 15.0
+_ADAPTER_LOAD_MS = 15.0
 # The status of an engine that isn't the one that an order was meant for.
-_ANOTHER_ENGINE = 421
-_LEAST_PAUSE_MS = 20.0
+_MISDIRECTED = 421
+_MIN_REPEAT_PAUSE_MS = 20.0
 # Each pause between two calls that give an order again is so much longer.
-_SLOWER = 1.4
-_UNKNOWN_LOAD_MS = 500.0
+_REPEAT_BACKOFF = 1.4
+_DEFAULT_LOAD_MS = 500.0
 # Of the time that an order usually takes: when it is first given again, and the first pause.
 _FIRST_REPEAT, _FIRST_PAUSE = 0.7, 0.05
 
@@ -54,17 +54,17 @@
     state = _proven_state(called, pending.verb, first)
     order_notes.log_response(placer, order, called, state, not first)
     view = engine_view.view_of(placer, engine)
-    if called.code == _ANOTHER_ENGINE:
+    if called.code == _MISDIRECTED:
         engine_view.address_reused(view, now_ms + settings.unreachable_ms)
     if first:
-        _first_ended(view, now_ms, called, pending, state)
+        _on_first_call_ended(view, now_ms, called, pending, state)
     entry = placer.ledger.engines.get(engine, {}).get(item)
     if entry is None or entry["order"] != order:
         return
     if not first and state in ("refused", "unknown", "taken"):
         return
     if state in ("loaded", "unloaded"):
-        _done(placer, now_ms, engine, item, entry, state)
+        _on_order_done(placer, now_ms, engine, item, entry, state)
         if state == "loaded" and not first and "/" not in item:
             load_queue.learn_load_time(placer, now_ms, engine, entry)
     if state == "refused":
@@ -73,7 +73,7 @@
     append_record(placer, ledgers.state_record(engine, item, order, state))
 
 
-def _first_ended(view, now_ms, called, pending, state):
+def _on_first_call_ended(view, now_ms, called, pending, state):
     """The call that sent an order has ended: what that says of the engine's count."""
     engine_view.call_ended(view, now_ms, pending.order)
     if state == "taken":
@@ -82,7 +82,7 @@
         engine_view.invalidate_count(view, now_ms)
 
 
-def _done(placer, now_ms, engine, item, entry, state):
+def _on_order_done(placer, now_ms, engine, item, entry, state):
     """An order was carried out, by the engine's own word."""
     engine_view.entry_settled(placer.engines[engine], now_ms, item, entry["order"])
     if state == "loaded":
@@ -121,16 +121,18 @@
             continue
         for item, entry in placer.ledger.engines.get(engine["name"], {}).items():
             order = entry["order"]
-            call_of = view.calls.get(order)
-            if entry["state"] != "taken" or call_of is None or call_of.ended_ms is None:
+            order_call = view.calls.get(order)
+            if entry["state"] != "taken" or order_call is None or order_call.ended_ms is None:
                 continue
             if f"again:{order}" in placer.calls:
                 continue
-            next_ms, pause_ms = _next_repeat(call_of, _usual_ms(placer, name, item, entry))
+            next_ms, pause_ms = _next_repeat(
+                order_call, _expected_duration_ms(placer, name, item, entry)
+            )
             if now_ms < next_ms:
                 soon_ms = min(soon_ms, next_ms)
                 continue
-            pause_ms = max(_LEAST_PAUSE_MS, _SLOWER * pause_ms)
+            pause_ms = max(_MIN_REPEAT_PAUSE_MS, _REPEAT_BACKOFF * pause_ms)
             engine_view.schedule_repeat(view, order, now_ms + pause_ms, pause_ms)
             body = order_body(placer, engine["name"], item, order)
             effects.append(
@@ -151,15 +153,15 @@
     return effects + ([Wake(soon_ms)] if effects or soon_ms < float("inf") else [])
 
 
-def _next_repeat(call_of, usual_ms):
+def _next_repeat(order_call, usual_ms):
     """(when an order is to be given again, the pause before that)."""
-    if call_of.repeat_ms is None:
-        return call_of.ended_ms + _FIRST_REPEAT * usual_ms, _FIRST_PAUSE * usual_ms
-    return call_of.repeat_ms, call_of.pause_ms
+    if order_call.repeat_ms is None:
+        return order_call.ended_ms + _FIRST_REPEAT * usual_ms, _FIRST_PAUSE * usual_ms
+    return order_call.repeat_ms, order_call.pause_ms
 
 
-def _usual_ms(placer, service, item, entry):
+def _expected_duration_ms(placer, service, item, entry):
     """How long an order usually takes once the engine has taken it."""
     if entry["verb"] == "load" and "/" not in item:
-        return placer.plan.load_ms.get(service, _UNKNOWN_LOAD_MS)
-    return _ADAPTER_MS
+        return placer.plan.load_ms.get(service, _DEFAULT_LOAD_MS)
+    return _ADAPTER_LOAD_MS
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -12,8 +12,8 @@
 
 __all__ = ["EngineListPoll", "tick", "on_called"]
 
-_PAGES = 200
-_SLACK_MS = 700
+_MAX_PAGES = 200
+_WARMUP_SLACK_MS = 700
 
 
 @dataclass
@@ -36,10 +36,10 @@
         return []
     poll.requested_ms, poll.round, poll.open = now_ms, poll.round + 1, True
     poll.found, poll.token = {}, ""
-    return [_ask(poll, settings, address, id_)]
+    return [_page_call(poll, settings, address, id_)]
 
 
-def _ask(poll, settings, address, id_):
+def _page_call(poll, settings, address, id_):
     return Call(
         f"{id_}|list:{poll.round}",
         "",
@@ -60,20 +60,22 @@
     for engine in called.body["engines"]:
         poll.found[engine["name"]] = engine
     token = called.body.get("next")
-    if token and len(poll.found) < _PAGES * 50:
+    if token and len(poll.found) < _MAX_PAGES * 50:
         poll.token = token
-        return [_ask(poll, settings, address, prefix)], []
+        return [_page_call(poll, settings, address, prefix)], []
     poll.open = False
-    return [], _changes(poll, now_ms, registry)
+    return [], _changed_engines(poll, now_ms, registry)
 
 
-def _changes(poll, now_ms, registry):
+def _changed_engines(poll, now_ms, registry):
     changed = []
     for name, engine in poll.found.items():
         old = registry.engines.get(name)
         plain = {k: v for k, v in engine.items() if k != "warmMs"}
         warmMs = int(engine.get("warmMs", 0))
-        colder = warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _SLACK_MS
+        colder = (
+            warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
+        )
         if old is None or colder or any(old.get(k) != v for k, v in plain.items()):
             if colder:
                 poll.warm_until_ms[name] = now_ms + warmMs
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -15,13 +15,13 @@
 
 __all__ = ["on_report"]
 
-_OPEN = ("intended", "taken", "unknown")
+_OPEN_STATES = ("intended", "taken", "unknown")
 
 
 def on_report(placer, now_ms, engine, body, requested_ms, registry):
     """A report came that was asked for at `asked_ms`; what can't be read changes nothing."""
     facts = registry.engines.get(engine)
-    if facts is None or not _is_valid(body):
+    if facts is None or not _is_well_formed(body):
         return
     view = engine_view.view_of(placer, engine)
     if now_ms < view.ignore_reports_until_ms:
@@ -36,7 +36,7 @@
     _settle_entries(placer, now_ms, engine, report)
     if requested_ms < changed_ms:
         return
-    strange = _unexplained(placer, engine, report, _facts(registry, facts, report.items))
+    strange = _unexplained(placer, engine, report, _item_facts(registry, facts, report.items))
     if strange:
         order_notes.log_found(placer, now_ms, engine, strange, report)
         append_record(
@@ -50,7 +50,7 @@
     """Another engine has begun under the name, or this one is heard of for the first time."""
     view, facts = placer.engines[engine], registry.engines[engine]
     order_notes.log_found(placer, now_ms, engine, report.items, report)
-    found = _facts(registry, facts, report.items)
+    found = _item_facts(registry, facts, report.items)
     keep = _orders_in_flight(placer, engine, report.requested_ms)
     append_record(
         placer,
@@ -83,7 +83,7 @@
             view.first_missing_ms.pop((item, entry["order"]), None)
         elif report.busy:
             continue
-        state = _settled(placer, now_ms, view, item, entry, report)
+        state = _settled_state(placer, now_ms, view, item, entry, report)
         if state == "loaded" and entry["verb"] == "load":
             load_queue.learn_load_time(placer, now_ms, engine, entry)
         if state:
@@ -135,7 +135,7 @@
     return found
 
 
-def _is_valid(body):
+def _is_well_formed(body):
     return (
         isinstance(body, dict)
         and isinstance(body.get("incarnation"), str)
@@ -148,7 +148,7 @@
     )
 
 
-def _facts(registry, engine, items):
+def _item_facts(registry, engine, items):
     """What no layout names has a size that nobody knows: it is charged all there is, so that
     nothing is loaded beside it before it is gone or named."""
     found = {}
@@ -171,14 +171,14 @@
     return requested_ms > first_ms
 
 
-def _settled(placer, now_ms, view, item, entry, report):
+def _settled_state(placer, now_ms, view, item, entry, report):
     """The new state that a report gives an entry, or None."""
-    open_ = entry["state"] in _OPEN
-    if open_ and not _may_settle(placer, view, entry, report.requested_ms):
+    open_ = entry["state"] in _OPEN_STATES
+    if open_ and not _can_settle(placer, view, entry, report.requested_ms):
         return None
     seen = report.items.get(item)
     if entry["verb"] == "load":
-        return _settled_load(now_ms, view, item, entry, report, seen)
+        return _settled_load_state(now_ms, view, item, entry, report, seen)
     if seen is None:
         return "unloaded"
     if seen == "loaded" and entry["state"] in ("unknown", "intended"):
@@ -186,7 +186,7 @@
     return None
 
 
-def _settled_load(now_ms, view, item, entry, report, seen):
+def _settled_load_state(now_ms, view, item, entry, report, seen):
     if seen == "loaded":
         return "loaded" if entry["state"] != "loaded" else None
     if seen is None and (
@@ -197,7 +197,7 @@
     return None
 
 
-def _may_settle(placer, view, entry, requested_ms):
+def _can_settle(placer, view, entry, requested_ms):
     """Whether a report asked for at `asked_ms` says anything of an open order."""
     order = entry["order"]
     if engine_view.call_open(view, order):
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -5,21 +5,21 @@
 from placement import registry_view
 from placement.demand_view import priority
 
-__all__ = ["SPARE", "needed_copies", "eviction_for", "wanted_copies", "copy_value"]
+__all__ = ["SPARE_COPY_FACTOR", "needed_copies", "eviction_for", "wanted_copies", "copy_value"]
 
 # Parts of their slots that a model's copies may be busy at: with fewer copies callers are
 # turned away, and with more than these nothing is gained.
-_FULL_PART = 0.5
-_BUSY_PART = 0.3
-_SLOTS = 16
+_MAX_UTILIZATION = 0.5
+_TARGET_UTILIZATION = 0.3
+_DEFAULT_SLOTS = 16
 # Askings a second from which on a model isn't left to a single engine.
-_OFTEN = 2.0
+_REDUNDANCY_RATE = 2.0
 # What a copy counts that is only there for bursts, and one that nobody needs.
-SPARE = 0.5
-_IDLE = 0.05
+SPARE_COPY_FACTOR = 0.5
+_SURPLUS_COPY_FACTOR = 0.05
 # A model that has just come up isn't pushed out before those who waited for it can have
 # come; what they have begun is finished before it goes.
-_KEEP_MS = 500.0
+_MIN_RESIDENCE_MS = 500.0
 
 
 def copy_value(view, model):
@@ -31,24 +31,24 @@
     if copies <= needed_copies(view, model):
         return asked / copies
     if copies <= wanted_copies(view, model):
-        return SPARE * asked / copies
-    return _IDLE * asked / copies
+        return SPARE_COPY_FACTOR * asked / copies
+    return _SURPLUS_COPY_FACTOR * asked / copies
 
 
 def needed_copies(view, model):
     """How many copies a model's demand fills: with fewer, callers are turned away."""
-    return _copies(view, model, _FULL_PART)
+    return _copies_at(view, model, _MAX_UTILIZATION)
 
 
 def wanted_copies(view, model):
     """How many copies leave a model's callers room for bursts and the loss of an engine."""
-    least = 2 if view.rates.get(model, 0.0) > _OFTEN else 1
-    return max(least, _copies(view, model, _BUSY_PART))
+    least = 2 if view.rates.get(model, 0.0) > _REDUNDANCY_RATE else 1
+    return max(least, _copies_at(view, model, _TARGET_UTILIZATION))
 
 
-def _copies(view, model, part):
+def _copies_at(view, model, part):
     """How many copies a model's demand keeps busy to a part of their slots."""
-    slots = max(1, view.service.get("slots") or _SLOTS)
+    slots = max(1, view.service.get("slots") or _DEFAULT_SLOTS)
     return max(
         1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.request_s / (part * slots))
     )
@@ -65,7 +65,10 @@
     for other, entry in items.items():
         if "/" in other or entry["verb"] != "load" or entry["state"] != "loaded":
             continue
-        if view.now_ms - view.placer.demand.loaded_at_ms.get((name, other), -1e12) < _KEEP_MS:
+        if (
+            view.now_ms - view.placer.demand.loaded_at_ms.get((name, other), -1e12)
+            < _MIN_RESIDENCE_MS
+        ):
             continue
         own_mb = sum(
             registry_view.entry_charge(view.registry, i, e)[0]
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -31,7 +31,7 @@
 ]
 
 _MAX_REJECTED = 500
-_OPEN = ("intended", "taken", "unknown")
+_OPEN_STATES = ("intended", "taken", "unknown")
 
 
 @dataclass
@@ -116,9 +116,9 @@
             "service": data["service"],
         }
     elif kind == "state":
-        _state(ledger, data)
+        _apply_state(ledger, data)
     elif kind == "found":
-        _found(ledger, data)
+        _apply_found(ledger, data)
     elif kind == "hold":
         ledger.holdCount += 1
         ledger.holds[data["hold"]["id"]] = {**data["hold"], "turn": ledger.holdCount}
@@ -143,7 +143,7 @@
     return data.get("engine")
 
 
-def _state(ledger, data):
+def _apply_state(ledger, data):
     items = ledger.engines.get(data["engine"], {})
     entry = items.get(data["item"])
     if entry is None or entry["order"] != data["order"]:
@@ -158,7 +158,7 @@
         entry["state"] = state
 
 
-def _found(ledger, data):
+def _apply_found(ledger, data):
     if ledger.incarnations.get(data["engine"]) != data["incarnation"]:
         old = ledger.engines.get(data["engine"], {})
         ledger.engines[data["engine"]] = {i: old[i] for i in data.get("keep", ()) if i in old}
@@ -194,7 +194,7 @@
 
 
 def is_open_load(entry):
-    return entry["verb"] == "load" and entry["state"] in _OPEN
+    return entry["verb"] == "load" and entry["state"] in _OPEN_STATES
 
 
 def is_loading(ledger, items):
@@ -211,10 +211,10 @@
     """Whether an item is up; an adapter is only while its model is, if that is known."""
     items = ledger.engines.get(engine, {})
     model = items.get(item.partition("/")[0])
-    return _up(items.get(item)) and (model is None or _up(model))
+    return _is_up(items.get(item)) and (model is None or _is_up(model))
 
 
-def _up(entry):
+def _is_up(entry):
     return bool(entry) and entry["verb"] == "load" and entry["state"] == "loaded"
 
 
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -24,7 +24,7 @@
     "waiting_since",
 ]
 
-_STEP_MS = 10000.0
+_CLASS_STEP_MS = 10000.0
 
 
 def store_rate(loads):
@@ -39,7 +39,7 @@
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] != name:
             continue
-        at_ms = placer.wait_queue.since_ms.get(id_, 0.0) + rank_of(hold["class"]) * _STEP_MS
+        at_ms = placer.wait_queue.since_ms.get(id_, 0.0) + rank_of(hold["class"]) * _CLASS_STEP_MS
         for item in {hold["model"], placement.item_name(hold["model"], hold["adapter"])}:
             found[item] = min(found.get(item, at_ms), at_ms)
     return found
@@ -51,7 +51,7 @@
 
     def turn(place):
         engine, item = place
-        if item in waited and not _comes_up(placer, item):
+        if item in waited and not _is_placed(placer, item):
             return (0, waited[item], item, engine)
         return (1, yields.get(made.targets[engine][item], placement.BEST_EFFORT), item, engine)
 
@@ -66,7 +66,7 @@
     )
 
 
-def _comes_up(placer, item):
+def _is_placed(placer, item):
     return any(
         item in items and items[item]["verb"] == "load" for items in placer.ledger.engines.values()
     )
@@ -74,7 +74,7 @@
 
 def learn_load_time(placer, now_ms, engine, entry):
     """A load was seen done: remember how long they take."""
-    ended_ms, service = _ended_ms(placer, engine, entry), entry["service"]
+    ended_ms, service = _call_ended_ms(placer, engine, entry), entry["service"]
     if ended_ms is not None:
         took_ms = now_ms - ended_ms
         placer.plan.load_ms[service] = (
@@ -87,7 +87,7 @@
     a silent engine may be loading, or one that gets no work holds, is no hope."""
     loadMs = placer.plan.load_ms.get(name, 2 * settings.report_interval_ms)
     base, _, adapter = item.partition("/")
-    serving = _serving(placer, name)
+    serving = _usable_engines(placer, name)
     entries = [
         (n, e)
         for n, items in placer.ledger.engines.items()
@@ -97,7 +97,7 @@
     if any(e["state"] == "loaded" for _, e in entries):
         return 0.0
     if entries:
-        ended = [_ended_ms(placer, n, e) for n, e in entries]
+        ended = [_call_ended_ms(placer, n, e) for n, e in entries]
         start_ms = max(now_ms if at_ms is None else at_ms for at_ms in ended)
         return max(settings.report_interval_ms, loadMs - (now_ms - start_ms))
     places = [n for n, (_, i) in enumerate(placer.plan.queues.get(name, ()), 1) if i == item]
@@ -108,21 +108,21 @@
     open_loads = ledgers.open_loads(placer.ledger, name)
     rate_ms = max(0.0, (places[0] - tokens) / per_ms)
     turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * loadMs
-    steps = 2 if adapter and not _loaded(placer, base) else 1
+    steps = 2 if adapter and not _is_loaded_anywhere(placer, base) else 1
     return max(rate_ms, turns_ms) + steps * (loadMs + settings.report_interval_ms)
 
 
-def _ended_ms(placer, engine, entry):
+def _call_ended_ms(placer, engine, entry):
     """When the call of an entry's order ended, None if it hasn't or isn't known."""
     view = placer.engines.get(engine)
     return None if view is None else engine_view.ended_ms(view, entry["order"])
 
 
-def _loaded(placer, item):
+def _is_loaded_anywhere(placer, item):
     return any(ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines)
 
 
-def _serving(placer, name):
+def _usable_engines(placer, name):
     """Engines that the last plan counted on: heard of, and open for new work."""
     plan = placer.plan.plans.get(name)
     return {e.name for e in plan[0][2]} if plan else set(engine_view.reports_of(placer))
@@ -131,7 +131,7 @@
 def reject_unservable(placer, now_ms, name, loads, made, settings):
     """Tell those whom no plan has room for, or whose deadline can't be met."""
     coming = {i for targets in made.targets.values() for i in targets}
-    serving = _serving(placer, name)
+    serving = _usable_engines(placer, name)
     coming |= {i for n, items in placer.ledger.engines.items() if n in serving for i in items}
     placer.wait_queue.estimated_ms = {
         i: ms for i, ms in placer.wait_queue.estimated_ms.items() if i in placer.ledger.holds
@@ -141,19 +141,19 @@
             continue
         item = placement.item_name(hold["model"], hold["adapter"])
         if item not in coming:
-            _tell(placer, id_, "no-room", 10 * settings.call_timeout_ms)
+            _release(placer, id_, "no-room", 10 * settings.call_timeout_ms)
             continue
         wait_ms = estimate_wait(placer, now_ms, name, loads, item, settings)
         end_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
         hope_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
-        overdue = now_ms > hope_ms + wait_ms and not _comes_up(placer, item)
+        overdue = now_ms > hope_ms + wait_ms and not _is_placed(placer, item)
         if overdue or now_ms + 0.9 * wait_ms > end_ms:
-            _tell(placer, id_, "loads-queue", wait_ms)
+            _release(placer, id_, "loads-queue", wait_ms)
 
 
-def _tell(placer, id_, why, retryMs):
+def _release(placer, id_, why, retryMs):
     placer.wait_queue.since_ms.pop(id_, None)
     append_record(placer, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
 
@@ -163,4 +163,4 @@
     of a counter's name and life whether it is gone."""
     for id_, hold in list(placer.ledger.holds.items()):
         if lost(hold.get("node", ""), hold.get("life", "")):
-            _tell(placer, id_, "counter-lost", 1000)
+            _release(placer, id_, "counter-lost", 1000)
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -13,7 +13,7 @@
 __all__ = ["plan", "give_order", "store_allows"]
 
 # How many times the loads that its rate makes up at full speed may be out at the store.
-_MOST_TIMES = 4
+_MAX_LOADS_FACTOR = 4
 
 
 def plan(placer, now_ms, registry, name, service, settings):
@@ -23,20 +23,20 @@
         if now_ms - ms < 2 * settings.call_timeout_ms
     }
     engines = registry_view.placement_engines(registry, name, engine_view.reports_of(placer))
-    made = _made(placer, registry, name, service, engines)
+    made = _current_plan(placer, registry, name, service, engines)
     if engines:
         load_queue.reject_unservable(placer, now_ms, name, service["loads"], made, settings)
     sizes = {e.name: e for e in engines}
     for engine in engines:
-        _unload(placer, registry, engine, name, made, sizes)
+        _unload_unwanted(placer, registry, engine, name, made, sizes)
     for engine, item in placer.plan.queues[name]:
-        if _fits(placer, registry, sizes[engine], item) and not _load(
+        if _can_load(placer, registry, sizes[engine], item) and not _load(
             placer, now_ms, registry, engine, item, name, service
         ):
             return
 
 
-def _made(placer, registry, name, service, engines):
+def _current_plan(placer, registry, name, service, engines):
     """The plan, made anew only when something that it looks at has changed."""
     inputs = (registry.stamp, placer.held.next, tuple(engines))
     kept = placer.plan.plans.get(name)
@@ -92,13 +92,13 @@
     )
 
 
-def _may_order(placer, engine):
+def _can_take_order(placer, engine):
     """Whether an engine may be given an order now."""
     entries = placer.ledger.engines.get(engine, {})
     return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
-def _moving(placer, registry, engine, item, made, sizes):
+def _is_moving(placer, registry, engine, item, made, sizes):
     """Whether a copy's new place comes up, or can, while this one still serves."""
     return any(
         item in targets
@@ -106,13 +106,13 @@
         and not ledgers.is_loaded(placer.ledger, other, item)
         and (
             item in placer.ledger.engines.get(other, {})
-            or _fits(placer, registry, sizes[other], item)
+            or _can_load(placer, registry, sizes[other], item)
         )
         for other, targets in made.targets.items()
     )
 
 
-def _unload(placer, registry, engine, service, made, sizes):
+def _unload_unwanted(placer, registry, engine, service, made, sizes):
     """Unload what no layout names any more, or what stands in a target's way; a
     copy that moves goes only once it is up elsewhere, if there is room for both."""
     targets = made.targets[engine.name]
@@ -125,21 +125,21 @@
             continue
         if not missing and registry_view.item_size(registry, item) is not None:
             continue
-        if not _may_order(placer, engine.name):
+        if not _can_take_order(placer, engine.name):
             return
-        if (engine.name, item) in placer.plan.refused_ms or _moving(
+        if (engine.name, item) in placer.plan.refused_ms or _is_moving(
             placer, registry, engine.name, item, made, sizes
         ):
             continue
         give_order(placer, engine.name, item, "unload", entry["mb"], entry["places"], service)
 
 
-def _fits(placer, registry, engine, item):
+def _can_load(placer, registry, engine, item):
     """Whether an order for an item may be given now, beside all that may be there."""
     items = placer.ledger.engines.get(engine.name, {})
     if item in items or (engine.name, item) in placer.plan.refused_ms:
         return False
-    if not _may_order(placer, engine.name):
+    if not _can_take_order(placer, engine.name):
         return False
     base = item.partition("/")[0]
     if "/" in item and not ledgers.is_loaded(placer.ledger, engine.name, base):
@@ -162,7 +162,7 @@
     return True
 
 
-def _at_once(loads, usual):
+def _max_open_loads(loads, usual):
     """How many loads may be out at a time.  Where the layout tells only a rate, that is what
     the store bears; loads that take longer than theirs, at engines that are busy or slow,
     don't keep others from it, up to a bound.  `usual`: the rate's loads in the time that
@@ -170,14 +170,14 @@
     told = loads["atOnce"]
     if loads.get("adapters", True):
         return told
-    return max(told, min(_MOST_TIMES * told, usual))
+    return max(told, min(_MAX_LOADS_FACTOR * told, usual))
 
 
 def store_allows(placer, now_ms, name, loads):
     """Whether one more load keeps within the service's part of the store; takes it."""
     burst, per_ms = load_queue.store_rate(loads)
     out = ledgers.open_loads(placer.ledger, name, loads.get("adapters", True))
-    if out >= _at_once(loads, per_ms * placer.plan.load_ms.get(name, 0.0)):
+    if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(name, 0.0)):
         return False
     tokens, at_ms = placer.plan.tokens.get(name, (burst if placer.epoch == 1 else 0.0, now_ms))
     tokens = min(burst, tokens + (now_ms - at_ms) * per_ms)
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -84,15 +84,15 @@
     )
     late = []
     for _, wish in turns:
-        if wish.yields >= BEST_EFFORT or not _try(work, wish, True):
+        if wish.yields >= BEST_EFFORT or not _place_copy(work, wish, True):
             late.append(wish)
     missing = {}
     for wish in late:
-        if not _try(work, wish, False):
+        if not _place_copy(work, wish, False):
             missing[wish.id] = wish
     for wish in missing.values():
         if wish.yields < BEST_EFFORT:
-            work.plan.unmet[wish.id] = _reason(work, wish)
+            work.plan.unmet[wish.id] = _unmet_reason(work, wish)
     return work.plan
 
 
@@ -114,7 +114,7 @@
     ]
 
 
-def _try(work, wish, own_share):
+def _place_copy(work, wish, own_share):
     """Place one more copy of the wish; False if there is no way."""
     item = item_name(wish.model, wish.adapter)
     mine = work.copies.setdefault(wish.id, set())
@@ -132,7 +132,7 @@
     for name in mine:
         zones[work.engines[name].zone] = zones.get(work.engines[name].zone, 0) + 1
     best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
-    _take(work, wish, item, best)
+    _assign(work, wish, item, best)
     mine.add(best)
     if not own_share and wish.yields < BEST_EFFORT:
         work.plan.lent.add((best, item))
@@ -154,7 +154,7 @@
     )
 
 
-def _take(work, wish, item, name):
+def _assign(work, wish, item, name):
     targets = work.plan.targets[name]
     cost_mb = _cost(work, wish, name)
     work.free_mb[name] -= cost_mb
@@ -165,7 +165,7 @@
     targets.setdefault(item, wish.id)
 
 
-def _reason(work, wish):
+def _unmet_reason(work, wish):
     zone = _zone_engines(work, wish)
     mine = work.copies.get(wish.id, set())
     others = [n for n in zone if n not in mine]
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -30,9 +30,9 @@
 
 __all__ = ["on_taken_over", "tick", "on_called", "on_durable", "on_command", "new_poll"]
 
-_OWN = 0.25
+_SELF_TAKEOVER_FACTOR = 0.25
 # Of a call's time: the least time between two plans that answers bring about.
-_BETWEEN_PLANS = 0.01
+_MIN_PLAN_INTERVAL = 0.01
 
 
 def on_taken_over(placer, now_ms, settings):
@@ -42,7 +42,7 @@
     for record in placer.held.records:
         ledgers.apply(placer.ledger, record)
     placer.not_before_ms = now_ms + (
-        _OWN * settings.call_timeout_ms
+        _SELF_TAKEOVER_FACTOR * settings.call_timeout_ms
         if placer.held_before and settings.turnMs
         else max(settings.call_timeout_ms, settings.turnMs)
     )
@@ -55,7 +55,7 @@
     """One round: poll, settle holds, plan, order.  `lost`: is a counter gone?"""
     if not placer.held.ready or placer.held.lost or now_ms >= lease_end_ms:
         return []
-    effects = _poll(placer, now_ms, registry, shards, settings)
+    effects = _poll_engines(placer, now_ms, registry, shards, settings)
     _drop_gone_engines(placer, now_ms, registry, settings)
     _expire_holds(placer, now_ms)
     load_queue.drop_lost_counters(placer, lost)
@@ -73,7 +73,7 @@
     return effects + order_notes.drain(placer)
 
 
-def _poll(placer, now_ms, registry, shards, settings):
+def _poll_engines(placer, now_ms, registry, shards, settings):
     effects = []
     for name, service in registry_view.services_of(registry, placer.shard, shards).items():
         if service.get("byDemand") and service["kind"] == "plain":
@@ -104,10 +104,10 @@
     since_ms = now_ms - last.requested_ms
     if last.id in placer.calls and since_ms < 2 * settings.call_timeout_ms:
         return False
-    return since_ms >= _pause(placer, engine, service, settings)
+    return since_ms >= _poll_interval(placer, engine, service, settings)
 
 
-def _pause(placer, engine, service, settings):
+def _poll_interval(placer, engine, service, settings):
     """How long to wait between reports; where orders tell their own end, reports are
     only for what was left in doubt, or for what the last one lacked."""
     view = engine_view.view_of(placer, engine["name"])
@@ -191,13 +191,13 @@
             )
         return order_notes.drain(placer)
     engine_calls.on_order_response(placer, now_ms, id_, called, pending, settings)
-    return _soon(placer, now_ms, settings) + order_notes.drain(placer)
+    return _replan_soon(placer, now_ms, settings) + order_notes.drain(placer)
 
 
-def _soon(placer, now_ms, settings):
+def _replan_soon(placer, now_ms, settings):
     """Plan again now, but not for each of many answers that come at once."""
     return (
-        [Wake(max(now_ms, placer.plan.planned_ms + _BETWEEN_PLANS * settings.call_timeout_ms))]
+        [Wake(max(now_ms, placer.plan.planned_ms + _MIN_PLAN_INTERVAL * settings.call_timeout_ms))]
         if settings.turnMs
         else []
     )
@@ -208,7 +208,7 @@
     if verb == "wanted":
         for item, count in body["items"].items():
             demand.record_requests(placer.demand, now_ms, item, count)
-            _pay(placer, item)
+            _mark_served(placer, item)
         suspects.record_outcomes(
             placer.outcome_history, now_ms, body.get("outcomes", {}), settings.unreachable_ms
         )
@@ -220,7 +220,7 @@
         return [Reply(token, {"id": id_, "gone": True})]
     hold = placer.ledger.holds[id_]
     for item in {hold["model"], placement.item_name(hold["model"], hold["adapter"])}:
-        _pay(placer, item)
+        _mark_served(placer, item)
     placer.wait_queue.since_ms.pop(id_, None)
     append_record(
         placer,
@@ -230,7 +230,7 @@
     return []
 
 
-def _pay(placer, item):
+def _mark_served(placer, item):
     """Whoever asks for an item, or leaves the line, while it is up has been served by it."""
     if item in placer.demand.unserved and any(
         ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines
@@ -275,4 +275,4 @@
         ),
         ("reply", token, {"id": id_, "turn": placer.ledger.holdCount + 1}),
     )
-    return _soon(placer, now_ms, settings)
+    return _replan_soon(placer, now_ms, settings)
--- a/libs/placement/src/placement/registry_view.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -88,7 +88,7 @@
         for name, wish in sorted(section["wishes"].items()):
             if wish["service"] == service:
                 found.append(
-                    _wish(
+                    _make_wish(
                         models,
                         f"{partner}:{name}",
                         partner,
@@ -108,7 +108,7 @@
         item = item_name(model, adapter)
         if item_size(registry, item):
             found.append(
-                _wish(
+                _make_wish(
                     models,
                     f"hold:{item}",
                     models[model]["partner"],
@@ -119,17 +119,17 @@
                     BEST_EFFORT + number,
                 )
             )
-    return found + _kept(registry, models, service, ledger)
+    return found + _already_placed(registry, models, service, ledger)
 
 
-def _kept(registry, models, service, ledger):
+def _already_placed(registry, models, service, ledger):
     found = []
     for engine, items in sorted(ledger.engines.items()):
         for item, entry in sorted(items.items()):
             if entry["service"] == service and item_size(registry, item):
                 model, _, adapter = item.partition("/")
                 found.append(
-                    _wish(
+                    _make_wish(
                         models,
                         f"kept:{engine}:{item}",
                         "",
@@ -144,7 +144,7 @@
     return found
 
 
-def _wish(models, id_, partner, model, adapter, copies, zones, yields, only=""):
+def _make_wish(models, id_, partner, model, adapter, copies, zones, yields, only=""):
     facts = models[model]
     places = facts["adapters"][adapter]["places"] if adapter else 0
     return Wish(id_, partner, model, adapter, copies, zones, yields, facts["roomMb"], places, only)
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -18,13 +18,13 @@
 __all__ = ["update_suspects", "record_outcomes"]
 
 # So many bad ends, and at least this share of all ends that were told, make a suspect.
-_LEAST_BAD = 3.0
-_BAD_SHARE = 0.3
+_MIN_FAILURES = 3.0
+_MIN_FAILURE_RATIO = 0.3
 # An engine that has answered fewer than this lately is silent, not merely overloaded.
-_HARDLY_ANY = 0.5
+_MIN_SUCCESSES = 0.5
 # Of a service's engines, the share that may be suspect at a time.
-_MOST_SHARE = 1 / 3
-_LONGEST_TIMES = 4
+_MAX_SUSPECT_RATIO = 1 / 3
+_MAX_BACKOFF_FACTOR = 4
 
 
 def record_outcomes(history, now_ms, told, fade_ms):
@@ -38,12 +38,12 @@
     """Log who is suspect from now on, and who is tried again."""
     for name in registry_view.services_of(registry, placer.shard, shards):
         engines = [engine["name"] for engine in registry_view.engines_of(registry, name)]
-        _clear(placer, now_ms, engines, settings)
-        _suspect(placer, now_ms, engines, settings)
-    _forget(placer, registry)
+        _clear_expired(placer, now_ms, engines, settings)
+        _mark_suspects(placer, now_ms, engines, settings)
+    _forget_removed(placer, registry)
 
 
-def _clear(placer, now_ms, engines, settings):
+def _clear_expired(placer, now_ms, engines, settings):
     """A holder that has just taken over doesn't know since when: it counts from now."""
     history = placer.outcome_history
     for engine in engines:
@@ -57,19 +57,19 @@
             append_record(placer, ledgers.cleared_record(engine))
 
 
-def _suspect(placer, now_ms, engines, settings):
-    most = int(_MOST_SHARE * len(engines))
+def _mark_suspects(placer, now_ms, engines, settings):
+    most = int(_MAX_SUSPECT_RATIO * len(engines))
     suspects = sum(engine in placer.ledger.suspects for engine in engines)
     for engine in engines:
         if suspects >= most:
             return
-        if engine in placer.ledger.suspects or not _bad(
+        if engine in placer.ledger.suspects or not _is_failing(
             placer.outcome_history, now_ms, engine, settings
         ):
             continue
         before = placer.outcome_history.suspicions.get(engine)
         again = before is not None and now_ms - before.until_ms < 4 * settings.unreachable_ms
-        times = min(_LONGEST_TIMES, 2 * before.backoff_factor) if again else 1
+        times = min(_MAX_BACKOFF_FACTOR, 2 * before.backoff_factor) if again else 1
         placer.outcome_history.suspicions[engine] = Suspicion(
             now_ms + times * settings.unreachable_ms, times
         )
@@ -77,18 +77,18 @@
         suspects += 1
 
 
-def _bad(history, now_ms, engine, settings):
+def _is_failing(history, now_ms, engine, settings):
     outcomes = history.outcomes.get(engine)
     if outcomes is None:
         return False
     outcomes.add(now_ms, settings.unreachable_ms)
     bad = outcomes.bad
-    if outcomes.good < _HARDLY_ANY:
+    if outcomes.good < _MIN_SUCCESSES:
         bad += outcomes.unanswered
-    return bad >= _LEAST_BAD and bad >= _BAD_SHARE * (bad + outcomes.good)
+    return bad >= _MIN_FAILURES and bad >= _MIN_FAILURE_RATIO * (bad + outcomes.good)
 
 
-def _forget(placer, registry):
+def _forget_removed(placer, registry):
     history = placer.outcome_history
     for known in (history.outcomes, history.suspicions):
         for engine in [name for name in known if name not in registry.engines]:
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -24,19 +24,19 @@
         "suspects": len(view.placer.ledger.suspects),
         "runMs": round(1000 * view.placer.demand.request_s),
         "kept": len(view.placer.demand.reserved),
-        "heldUp": dict(Counter(_held_up_by(view, model) for model in missing)),
+        "heldUp": dict(Counter(_blocking_reason(view, model) for model in missing)),
     }
 
 
-def _held_up_by(view, model):
+def _blocking_reason(view, model):
     size = registry_view.item_size(view.registry, model)
     if size is None:
         return "unknown"
-    reasons = Counter(_reason(view, model, size[0], name) for name in view.engines)
+    reasons = Counter(_engine_reason(view, model, size[0], name) for name in view.engines)
     return reasons.most_common(1)[0][0]
 
 
-def _reason(view, model, size_mb, name):
+def _engine_reason(view, model, size_mb, name):
     kept = view.placer.demand.reserved.items()
     if any(engine == name and other != model for other, (engine, _) in kept):
         return "engine kept for another"
--- a/libs/simulation/src/simulation/mutants_of_placement.py
+++ b/libs/simulation/src/simulation/mutants_of_placement.py
@@ -47,7 +47,7 @@
         lambda: [
             (
                 engine_reports,
-                "_facts",
+                "_item_facts",
                 lambda reg, e, items: {
                     i: {"state": "loaded", "mb": 0, "places": 0, "sized": True} for i in items
                 },
