--- a/libs/placement/src/placement/__init__.py
+++ b/libs/placement/src/placement/__init__.py
@@ -1,3 +1,3 @@
-"""Placement, orders, and the line of tasks whose model is coming up."""
+"""Decides which engine holds which model and adapter, and orders loads and unloads."""
 
 __all__ = ["ledger", "placement", "placer", "world"]
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -1,9 +1,10 @@
-"""Calls to engines and what their answers prove.
+"""Calls to engines, and what their responses prove about orders.
 
-An order is called once; its answer says whether it was taken.  An order that was
-taken is given again when it should be done: an engine that holds it answers so at
-once, sooner than its reports tell.  Either call may reach the engine long after it
-has ended here, so both name the count of orders that the engine is to have taken.
+The response to the first call of an order says whether the engine took the order.  The call of
+an order that was taken is repeated around the time when it should be done: an engine that holds
+the item confirms that at once, earlier than its next report.  Either call may reach the engine
+long after it has timed out here, so both name the count of orders that the engine must have
+taken before.
 """
 
 from transport.effects import Call, Wake
@@ -15,25 +16,25 @@
 __all__ = ["call", "repeats_due", "on_order_response", "order_body"]
 
 _ADAPTER_LOAD_MS = 15.0
-# The status of an engine that isn't the one that an order was meant for.
+# The status by which an engine rejects an order that was meant for another engine.
 _MISDIRECTED = 421
 _MIN_REPEAT_PAUSE_MS = 20.0
-# Each pause between two calls that give an order again is so much longer.
+# Factor from each pause between two repeated calls to the next.
 _REPEAT_BACKOFF = 1.4
 _DEFAULT_LOAD_MS = 500.0
-# Of the time that an order usually takes: when it is first given again, and the first pause.
+# Of the expected duration of an order: when its call is first repeated, and the first pause.
 _FIRST_REPEAT, _FIRST_PAUSE = 0.7, 0.05
 
 
 def order_body(placer, engine, item, order):
-    """What every call of an order says, the first one and those that give it again."""
+    """The fields that the first call of an order and the repeated calls have in common."""
     body = {"epoch": placer.epoch, "order": order, "item": item}
     expected = engine_view.expected_count(engine_view.view_of(placer, engine))
     return body if expected is None else {**body, "expected": expected}
 
 
 def call(placer, now_ms, id_, verb, engine, body, settings, item, order, not_after_ms=float("inf")):
-    """A call to an engine, remembered until it ends."""
+    """Start a call to an engine; it is kept in `placer.calls` until it ends."""
     expected = body.get("expected")
     placer.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
     return Call(
@@ -48,7 +49,7 @@
 
 
 def on_order_response(placer, now_ms, id_, called, pending, settings):
-    """Log what an order's answer proves."""
+    """Log the state that the response to an order proves."""
     engine, item, order = pending.engine, pending.item, pending.order
     first = id_ == order
     state = _proven_state(called, pending.verb, first)
@@ -74,7 +75,7 @@
 
 
 def _on_first_call_ended(view, now_ms, called, pending, state):
-    """The call that sent an order has ended: what that says of the engine's count."""
+    """The first call of an order has ended: update what is known of the engine's order count."""
     engine_view.call_ended(view, now_ms, pending.order)
     if state == "taken":
         engine_view.order_taken(view, now_ms, pending.expected)
@@ -83,7 +84,7 @@
 
 
 def _on_order_done(placer, now_ms, engine, item, entry, state):
-    """An order was carried out, by the engine's own word."""
+    """The engine confirmed that an order is done."""
     engine_view.entry_settled(placer.engines[engine], now_ms, item, entry["order"])
     if state == "loaded":
         placer.demand.loaded_at_ms[engine, item] = now_ms
@@ -91,9 +92,9 @@
 
 
 def _proven_state(called, verb, first):
-    """What an order's answer proves; no answer proves nothing.  Nor does it prove that there
-    is room if an engine, told for the first time to unload what it holds, says that it is
-    done: the answer may belong to another call, and only a report tells."""
+    """The state that a response proves; "unknown" if there was no response, and also if the first
+    call of an unload order reports success at once: that response may belong to another call,
+    and only a report shows that the room is free."""
     if called.code == 202:
         return "taken"
     if called.code == 200 and verb == "load":
@@ -106,7 +107,7 @@
 
 
 def repeats_due(placer, now_ms, registry, name, settings, lease_end_ms):
-    """Calls that give again what was taken and should be done by now."""
+    """Repeated calls for orders that were taken and should be done by now."""
     last_ms = lease_end_ms - settings.call_timeout_ms
     if now_ms >= last_ms or placer.held.lost:
         return []
@@ -154,14 +155,14 @@
 
 
 def _next_repeat(order_call, usual_ms):
-    """(when an order is to be given again, the pause before that)."""
+    """(when the call of an order is to be repeated, the pause before that)."""
     if order_call.repeat_ms is None:
         return order_call.ended_ms + _FIRST_REPEAT * usual_ms, _FIRST_PAUSE * usual_ms
     return order_call.repeat_ms, order_call.pause_ms
 
 
 def _expected_duration_ms(placer, service, item, entry):
-    """How long an order usually takes once the engine has taken it."""
+    """How long an order is expected to take once the engine has taken it."""
     if entry["verb"] == "load" and "/" not in item:
         return placer.plan.load_ms.get(service, _DEFAULT_LOAD_MS)
     return _ADAPTER_LOAD_MS
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -1,11 +1,10 @@
-"""What a report proves.
-
-A report says what is on an engine now.  It settles an order only if it was asked for after
-the order's call had ended; a changed incarnation means that everything ordered of the old
-one is forgotten.  What no order explains is recorded as found, and charged.  A report of an
-engine that counts its orders says nothing if it is older than what is known of that count.
-One of an engine that is busy takes nothing away: an order under way changes what it holds at
-the very same count.
+"""Updates the ledger from engine reports.
+
+A report lists what is on an engine now.  It settles an order only if it was requested after the
+order's call had ended.  A changed incarnation means that the orders given to the previous one are
+void.  Items that no order explains are recorded as found, and charged.  For an engine that counts
+its orders, a report older than what is known of that count is ignored.  A report of a busy engine
+never removes an item: an order in progress changes the items without changing the count.
 """
 
 from placement import engine_view, load_queue, order_notes, registry_view
@@ -19,7 +18,7 @@
 
 
 def on_report(placer, now_ms, engine, body, requested_ms, registry):
-    """A report came that was asked for at `asked_ms`; what can't be read changes nothing."""
+    """Process a report that was requested at `requested_ms`; a malformed one is ignored."""
     facts = registry.engines.get(engine)
     if facts is None or not _is_well_formed(body):
         return
@@ -47,7 +46,7 @@
 
 
 def _new_incarnation(placer, now_ms, engine, report, registry):
-    """Another engine has begun under the name, or this one is heard of for the first time."""
+    """The engine has restarted or been replaced, or this is its first report."""
     view, facts = placer.engines[engine], registry.engines[engine]
     order_notes.log_found(placer, now_ms, engine, report.items, report)
     found = _item_facts(registry, facts, report.items)
@@ -61,7 +60,7 @@
 
 
 def _parse(body, requested_ms):
-    """A Report of a sound body."""
+    """The Report of a well-formed body."""
     return Report(
         body["incarnation"],
         body["roomMb"],
@@ -75,7 +74,7 @@
 
 
 def _settle_entries(placer, now_ms, engine, report):
-    """Log what a report proves of the orders and items that the ledger knows."""
+    """Log the new states that a report proves for the entries of the ledger."""
     view, entries = placer.engines[engine], placer.ledger.engines.get(engine, {})
     for item, entry in list(entries.items()):
         seen = report.items.get(item)
@@ -94,7 +93,7 @@
 
 
 def _unexplained(placer, engine, report, told):
-    """Items that a report shows and no order explains, or whose size is told only now."""
+    """Reported items that no order explains, or whose size the layout has defined since."""
     held = placer.ledger.engines.get(engine, {})
     return {
         item: told[item]
@@ -105,14 +104,14 @@
 
 
 def _lacks_size(entry):
-    """Whether something was found before any layout told its size."""
+    """Whether an entry was found before any layout defined its size."""
     return entry is not None and not entry.get("sized", True)
 
 
 def _hides_open_order(placer, engine, report):
-    """Whether the report shows an item whose entry is an order that may never arrive.  What
-    is there came by something else, and is charged only as long as that order's entry is:
-    the count says what the engine holds only once the item's own entry stands."""
+    """Whether the report shows an item whose entry is a load order that may never arrive.  The
+    item was loaded by something else, and the charge for it would end with that order's entry.
+    So the count must not be learned until the item has an entry of its own."""
     entries = placer.ledger.engines.get(engine, {})
     return any(
         entries[item]["verb"] == "load" and entries[item]["state"] in ("intended", "unknown")
@@ -122,8 +121,8 @@
 
 
 def _orders_in_flight(placer, engine, requested_ms):
-    """Orders that may reach the new incarnation after it answered this report: their calls
-    had not ended when it was asked for, or got no answer."""
+    """Items whose orders may reach the new incarnation after this report: their calls had not
+    ended when the report was requested, or got no response."""
     view, found = placer.engines[engine], set()
     for item, entry in placer.ledger.engines.get(engine, {}).items():
         ended_ms = engine_view.ended_ms(view, entry["order"])
@@ -149,8 +148,8 @@
 
 
 def _item_facts(registry, engine, items):
-    """What no layout names has a size that nobody knows: it is charged all there is, so that
-    nothing is loaded beside it before it is gone or named."""
+    """item -> its state and charge.  An item that no layout defines has an unknown size and is
+    charged the whole engine, so that nothing is loaded beside it until it is gone or defined."""
     found = {}
     for item, state in items.items():
         size = registry_view.item_size(registry, item)
@@ -165,14 +164,15 @@
 
 
 def _confirmed_missing(view, now_ms, item, order, requested_ms):
-    """An engine that woke may answer a report before an order that came earlier on another
-    pipe; so it takes a second report in a row, asked for after the first."""
+    """Whether an item is missing from a second consecutive report, requested after the first.  An
+    engine that was suspended may answer a report before an order that arrived earlier on
+    another connection, so one report isn't enough."""
     first_ms = view.first_missing_ms.setdefault((item, order), now_ms)
     return requested_ms > first_ms
 
 
 def _settled_state(placer, now_ms, view, item, entry, report):
-    """The new state that a report gives an entry, or None."""
+    """The new state that a report proves for an entry, or None."""
     open_ = entry["state"] in _OPEN_STATES
     if open_ and not _can_settle(placer, view, entry, report.requested_ms):
         return None
@@ -198,7 +198,7 @@
 
 
 def _can_settle(placer, view, entry, requested_ms):
-    """Whether a report asked for at `asked_ms` says anything of an open order."""
+    """Whether a report requested at `requested_ms` can settle an open order."""
     order = entry["order"]
     if engine_view.call_open(view, order):
         return False
@@ -216,6 +216,6 @@
 
 
 def _from_this_epoch(placer, entry):
-    """Whether this epoch gave the order; an older epoch's intent may have been sent, and is
-    settled by a report after the old holder's time."""
+    """Whether this epoch gave the order.  An order of an earlier epoch may have been sent by the
+    previous lease holder, and is settled only by a report after that holder's calls have ended."""
     return entry["order"].startswith(f"{placer.shard}.{placer.epoch}.")
--- a/libs/placement/src/placement/engine_view.py
+++ b/libs/placement/src/placement/engine_view.py
@@ -1,14 +1,14 @@
-"""What a holder knows of one engine beside what its ledger charges there.
+"""What a lease holder knows of one engine beyond the entries of its ledger.
 
-The ledger's entries say what may be on the engine; an `EngineView` says how far that is
-known.  Only the functions here and in `engine_reports` change it, one for each event.
+The entries say what may be on the engine; an `EngineView` says how far that is known.  Only the
+functions here and in `engine_reports` change it, one for each event.
 
-An engine that counts the orders it takes tells the count in its reports and refuses an order
-that expects another.  What it holds while no order is under way follows from the orders that
-it has taken, so an order that names the count on which its room was worked out is taken in
-that very state or not at all: a late one finds a higher count.  The promise kept after every
-event: at each count at which an order may be taken, the entries charge no less than what may
-be there, this order included (checked by `simulation.engine_orders`).
+An engine that counts the orders it takes reports the count and refuses an order that expects
+another one.  While no order is in progress, its content follows from the orders taken.  So an
+order that names the count for which its room was computed is taken in exactly that state or not
+at all; a late one finds a higher count.  Invariant after every event, checked by
+`simulation.engine_orders`: at each count at which an order may be taken, the entries charge at
+least what may be on the engine, including this order.
 """
 
 from dataclasses import dataclass, field
@@ -47,8 +47,8 @@
 
 @dataclass(frozen=True)
 class Report:
-    """What an engine told of itself.  `orders`: how many it has taken, None if it doesn't
-    count them; `running`: requests that it runs or that wait at it, None if it doesn't tell."""
+    """A report of an engine.  `orders`: how many it has taken, None if it doesn't count them;
+    `running`: requests that it runs or queues, None if it doesn't report that."""
 
     incarnation: str
     roomMb: int
@@ -62,8 +62,8 @@
 
 @dataclass(frozen=True)
 class Poll:
-    """The last call for an engine's report; each has an id of its own, so that an answer
-    that comes after the next was made is judged by the time of its own call."""
+    """The last call for an engine's report.  Each has an id of its own, so that a response that
+    arrives after the next poll was sent is dated by its own call."""
 
     id: str
     requested_ms: float
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class OrderCount:
-    """`orders`: taken by an engine; `since_ms`: when the count was last learned."""
+    """How many `orders` an engine has taken; `since_ms`: when the count was last updated."""
 
     orders: int
     since_ms: float
@@ -79,8 +79,8 @@
 
 @dataclass
 class OrderCall:
-    """How far the call of an order has come.  `ended_ms`: None while it is open;
-    `repeat_ms`, `pause_ms`: when it is to be given again, and the pause after that."""
+    """The first call of an order.  `ended_ms`: None while it is in flight; `repeat_ms`,
+    `pause_ms`: when the call is to be repeated, and the pause before that."""
 
     ended_ms: float | None = None
     repeat_ms: float | None = None
@@ -89,11 +89,11 @@
 
 @dataclass
 class EngineView:
-    """`report`, `poll`: the last report, and the last call for one; `count`: orders that the
-    engine has taken, None while that is in doubt, which it came into at `doubted_ms`;
-    `changed_ms`: when an entry was last settled; `replaced_until_ms`: another engine has its
-    address, so that until then no report is its own; `calls`: order -> OrderCall;
-    `missing_ms`: (item, order) -> when a report first lacked what should be there."""
+    """`report`, `poll`: the last report, and the last call for one; `count`: its OrderCount, None
+    while unknown; `count_invalid_ms`: when the count was invalidated; `entries_changed_ms`: when
+    an entry was last settled; `ignore_reports_until_ms`: another engine has the address, so
+    reports until then aren't its own; `calls`: order -> OrderCall; `first_missing_ms`:
+    (item, order) -> when an expected item was first missing from a report."""
 
     report: Report | None = None
     poll: Poll | None = None
@@ -106,7 +106,7 @@
 
 
 def view_of(placer, engine):
-    """The view of an engine, an empty one if nothing is known of it."""
+    """The view of an engine; a new, empty one if there is none yet."""
     found = placer.engines.get(engine)
     if found is None:
         found = placer.engines[engine] = EngineView()
@@ -114,47 +114,47 @@
 
 
 def reports_of(placer):
-    """engine -> its last report, of those that have been heard of."""
+    """engine -> its last report, of the engines that have one."""
     return {name: v.report for name, v in placer.engines.items() if v.report is not None}
 
 
 def expected_count(view):
-    """The count that the engine's next order must find, or None if it counts none."""
+    """The order count that the next order must find, or None if it is not known or not kept."""
     return None if view.count is None else view.count.orders
 
 
 def count_known(view):
-    """Whether the engine may be ordered: its count is known, or it has none."""
+    """Whether the engine's order count is known, or the engine keeps none."""
     return view.count is not None or (view.report is not None and view.report.orders is None)
 
 
 def can_take_order(view, entries):
-    """Whether the engine may be given an order beside these entries; one that counts its
-    orders carries out one at a time, so nothing is given beside one that is under way."""
+    """Whether the engine can be given an order beside these entries.  An engine that counts its
+    orders carries out one at a time, so it gets none while another is in progress."""
     if view.count is None:
         return count_known(view)
     return all(entry["state"] == "loaded" for entry in entries.values())
 
 
 def call_open(view, order):
-    """Whether the first call of an order has not ended yet."""
+    """Whether the first call of an order is in flight."""
     call = view.calls.get(order)
     return call is not None and call.ended_ms is None
 
 
 def ended_ms(view, order):
-    """When the first call of an order ended, None if it hasn't or if that isn't known."""
+    """When the first call of an order ended; None if it hasn't or isn't known."""
     call = view.calls.get(order)
     return None if call is None else call.ended_ms
 
 
 def poll_sent(view, poll):
-    """A report was asked for."""
+    """A report was requested."""
     view.poll = poll
 
 
 def report_failed(view, now_ms, unreachable_ms):
-    """A call for a report got no answer: after a while the last report counts no more."""
+    """A call for a report failed: after `unreachable_ms` the last report is discarded."""
     if view.report is not None and now_ms - view.report.requested_ms > unreachable_ms:
         view.report = None
 
@@ -165,32 +165,32 @@
 
 
 def call_ended(view, now_ms, order):
-    """The first call of an order has ended, answered or not."""
+    """The first call of an order has ended, with or without a response."""
     view.calls[order] = OrderCall(now_ms)
 
 
 def schedule_repeat(view, order, at_ms, pause_ms):
-    """An order that was taken is given again at `at_ms`, and the next time after more than
-    `pause_ms`."""
+    """Repeat the call of an order that was taken at `at_ms`; `pause_ms` is the pause before
+    that."""
     call = view.calls[order]
     call.repeat_ms, call.pause_ms = at_ms, pause_ms
 
 
 def order_taken(view, now_ms, expected):
-    """An order that expected this count was taken."""
+    """An order that named the count `expected` was taken."""
     if expected is not None and view.count is not None and view.count.orders <= expected:
         view.count = OrderCount(expected + 1, now_ms)
 
 
 def invalidate_count(view, now_ms):
-    """The entries may differ from what the engine holds: only a report asked for after
-    `now_ms` says again what that is."""
+    """The entries may differ from the engine's content; only a report requested after `now_ms`
+    makes the count known again."""
     view.count = None
     view.count_invalid_ms = now_ms
 
 
 def entry_settled(view, now_ms, item, order):
-    """An entry stands, or is gone, by the engine's word: no earlier report counts."""
+    """The engine confirmed or removed an entry; reports requested earlier no longer apply."""
     view.entries_changed_ms = now_ms
     view.first_missing_ms.pop((item, order), None)
     call = view.calls.get(order)
@@ -199,8 +199,8 @@
 
 
 def is_outdated(view, report):
-    """Whether a report is older than what is known of the engine's count.  A lower count in a
-    later one shows that an answer was taken for another order's: the report is right."""
+    """Whether a report is older than the known order count.  If a later report has a lower count,
+    a response was attributed to the wrong order, and the report is right."""
     if report.orders is None:
         return False
     if report.requested_ms <= view.count_invalid_ms:
@@ -211,7 +211,7 @@
 
 
 def learn_count(view, now_ms, report):
-    """The entries charge all that a report shows: its count is the engine's, unless it is busy."""
+    """Take over a report's count, unless the engine is busy; the entries charge all its items."""
     if report.orders is None or report.busy:
         return
     view.count_invalid_ms = _NEVER_MS
@@ -220,27 +220,27 @@
 
 
 def engine_restarted(view):
-    """Another engine has begun under the name: its count has to be learned."""
+    """The engine has a new incarnation, so its order count has to be learned."""
     view.count = None
     view.count_invalid_ms = _NEVER_MS
 
 
 def address_reused(view, until_ms):
-    """Another engine has this one's address, and answers reports as its own: for a while none
-    is believed, and nothing ordered."""
+    """Another engine has this one's address and answers reports in its place: until `until_ms`
+    no report is used and no order given."""
     view.report = None
     view.ignore_reports_until_ms = until_ms
 
 
 def restore_calls(view, now_ms, entries):
-    """Taken over from a former holder: what it knew to be taken is counted from now."""
+    """After a takeover: orders that were already taken count as taken now."""
     for entry in entries.values():
         if entry["state"] == "taken":
             call_ended(view, now_ms, entry["order"])
 
 
 def forget_ended(view, entries):
-    """Drop what is remembered of calls and items without an entry."""
+    """Drop calls and missing items that no longer have an entry."""
     orders = {entry["order"] for entry in entries.values()}
     view.calls = {o: c for o, c in view.calls.items() if o in orders or c.ended_ms is None}
     view.first_missing_ms = {
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -1,8 +1,8 @@
-"""A service shard's replicated state: orders, what engines hold, who waits.
+"""Replicated state of a service shard: orders, items on engines, waiting requests.
 
-Every entry under an engine charges its room and adapter places, whatever its
-state, until a report or a refusal proves that it holds nothing.  `apply` is
-what the holder and every follower do with a logged record.
+Every entry of an engine is charged, whatever its state, until a report or a refusal proves that
+the engine doesn't hold the item.  The lease holder and all followers update their ledgers with
+`apply`.  Attributes and record keys are part of the stored format.
 """
 
 import json
@@ -36,6 +36,11 @@
 
 @dataclass
 class Ledger:
+    """`engines`: engine -> item -> entry; `incarnations`: engine -> its last reported one;
+    `holds`: id -> waiting request; `unmet`: service -> wish id -> why it isn't met; `told`:
+    id -> [reason, retry after ms] of requests rejected while waiting; `lingering`: order ->
+    service, of open loads on engines that are gone; `suspects`: engines that get no work."""
+
     engines: dict = field(default_factory=dict)
     incarnations: dict = field(default_factory=dict)
     holds: dict = field(default_factory=dict)
@@ -71,8 +76,7 @@
 
 
 def found_record(engine, incarnation, items, service, keep=()):
-    """A new incarnation of an engine, or things on it that no order explains; of
-    what was ordered before, a new incarnation may still come to hold `keep`."""
+    """A new incarnation, which orders for `keep` may still reach, or unexplained items."""
     return _encode(
         {
             "k": "found",
@@ -86,10 +90,12 @@
 
 
 def hold_record(hold):
+    """A request began to wait for a model or adapter to be loaded."""
     return _encode({"k": "hold", "hold": hold})
 
 
 def unhold_record(id_, why, retryMs=0):
+    """A request no longer waits; with `retryMs`, it was rejected for the reason `why`."""
     return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
 
 
@@ -98,8 +104,8 @@
 
 
 def apply(ledger, record):
-    """What can't be read, or is of a later version's kind, changes nothing.  Returns the
-    engine that the record is about, or None if it is about none."""
+    """Apply a logged record; returns the engine that it concerns, or None.  Malformed records
+    and kinds that a later version writes change nothing."""
     try:
         data = json.loads(record)
         kind = data["k"]
@@ -177,14 +183,13 @@
 
 
 def charged(ledger, engine):
-    """(room, adapter places) that entries on this engine may be using."""
+    """(room, adapter places) of an engine's entries, by their sizes when ordered."""
     items = ledger.engines.get(engine, {}).values()
     return sum(i["mb"] for i in items), sum(i["places"] for i in items)
 
 
 def open_loads(ledger, service, adapters=True):
-    """Loads that may still be asking the weight store for something; adapters too,
-    unless they come from elsewhere."""
+    """How many loads, with or without adapters, may still be reading from the weight store."""
     return sum(
         1
         for items in ledger.engines.values()
@@ -194,6 +199,7 @@
 
 
 def is_open_load(entry):
+    """Whether an entry is a load that may still be in progress."""
     return entry["verb"] == "load" and entry["state"] in _OPEN_STATES
 
 
@@ -208,7 +214,7 @@
 
 
 def is_loaded(ledger, engine, item):
-    """Whether an item is up; an adapter is only while its model is, if that is known."""
+    """Whether an item is loaded; an adapter also needs its model to be, if that has an entry."""
     items = ledger.engines.get(engine, {})
     model = items.get(item.partition("/")[0])
     return _is_up(items.get(item)) and (model is None or _is_up(model))
@@ -219,28 +225,30 @@
 
 
 def dump(ledger):
+    """The checkpoint of a ledger."""
     return json.dumps(vars(ledger), separators=(",", ":")).encode()
 
 
 def load(body):
+    """The ledger of a checkpoint, an empty one if there is none."""
     return Ledger(**json.loads(body)) if body else Ledger()
 
 
 def dropped_record(engine):
-    """An engine the platform says is gone holds nothing any more; what it was
-    loading lingers, since the store may go on serving it."""
+    """An engine was removed; its open loads still count, as the store may go on serving them."""
     return _encode({"k": "dropped", "engine": engine})
 
 
 def suspect_record(engine):
-    """An engine answers callers badly: it gets no work for a while."""
+    """Too many attempts at an engine failed: it gets no work for a while."""
     return _encode({"k": "suspect", "engine": engine})
 
 
 def cleared_record(engine):
-    """A suspect engine is tried again."""
+    """A suspect engine gets work again."""
     return _encode({"k": "cleared", "engine": engine})
 
 
 def lingered_record(order):
+    """A load on a removed engine has ended and is no longer counted."""
     return _encode({"k": "lingered", "order": order})
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -1,9 +1,9 @@
-"""From a plan to orders that keep within room, places and the weight store.
+"""Turns a plan into load and unload orders within the limits of engines and weight store.
 
-An order is given only if everything that may still be on the engine, and the
-new item with it, fits.  Loads outstanding never exceed the service's part of
-the weight store, whose rate is kept by tokens that start empty after a
-takeover, so two holders together never spend more than one may.
+An order is given only if the new item fits beside everything that may still be on the engine.
+Open loads never exceed the service's share of the weight store.  A token bucket limits their
+rate; it starts empty after a takeover, so that two successive holders together stay within the
+rate of one.
 """
 
 from placement import engine_calls, engine_view, load_queue, order_notes, placement, registry_view
@@ -12,11 +12,12 @@
 
 __all__ = ["plan", "give_order", "store_allows"]
 
-# How many times the loads that its rate makes up at full speed may be out at the store.
+# Bound on open loads, as a multiple of the configured number, where loads are slow.
 _MAX_LOADS_FACTOR = 4
 
 
 def plan(placer, now_ms, registry, name, service, settings):
+    """Compute the plan of a service and give the orders that may be given now."""
     placer.plan.refused_ms = {
         k: ms
         for k, ms in placer.plan.refused_ms.items()
@@ -37,7 +38,7 @@
 
 
 def _current_plan(placer, registry, name, service, engines):
-    """The plan, made anew only when something that it looks at has changed."""
+    """The service's plan, recomputed only when its inputs have changed."""
     inputs = (registry.stamp, placer.held.next, tuple(engines))
     kept = placer.plan.plans.get(name)
     if kept is not None and kept[0] == inputs:
@@ -74,7 +75,7 @@
 
 
 def give_order(placer, engine, item, verb, mb, places, service):
-    """Log an order; it is sent once the record is durable."""
+    """Log an order; it is sent to the engine once the record is committed."""
     number = placer.ledger.orderCount + 1
     order = f"{placer.shard}.{placer.epoch}.{number}"
     order_notes.log_order(placer, engine, item, verb, order)
@@ -93,13 +94,13 @@
 
 
 def _can_take_order(placer, engine):
-    """Whether an engine may be given an order now."""
+    """Whether an engine can take an order now."""
     entries = placer.ledger.engines.get(engine, {})
     return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
 def _is_moving(placer, registry, engine, item, made, sizes):
-    """Whether a copy's new place comes up, or can, while this one still serves."""
+    """Whether another engine is loading the item or could, while this copy still serves."""
     return any(
         item in targets
         and other != engine
@@ -113,8 +114,8 @@
 
 
 def _unload_unwanted(placer, registry, engine, service, made, sizes):
-    """Unload what no layout names any more, or what stands in a target's way; a
-    copy that moves goes only once it is up elsewhere, if there is room for both."""
+    """Unload items that no layout defines any more and items whose room a target needs.  A copy
+    that moves is unloaded only after it is loaded elsewhere, if there is room for both."""
     targets = made.targets[engine.name]
     items = placer.ledger.engines.get(engine.name, {})
     missing = [i for i in targets if i not in items]
@@ -135,7 +136,7 @@
 
 
 def _can_load(placer, registry, engine, item):
-    """Whether an order for an item may be given now, beside all that may be there."""
+    """Whether an item may be loaded now beside everything that may be on the engine."""
     items = placer.ledger.engines.get(engine.name, {})
     if item in items or (engine.name, item) in placer.plan.refused_ms:
         return False
@@ -154,7 +155,7 @@
 
 
 def _load(placer, now_ms, registry, engine, item, name, service):
-    """Order it, if the store bears it."""
+    """Give a load order if the weight store's limits allow it; returns whether they do."""
     if not store_allows(placer, now_ms, name, service["loads"]):
         return False
     size = registry_view.item_size(registry, item)
@@ -163,18 +164,17 @@
 
 
 def _max_open_loads(loads, usual):
-    """How many loads may be out at a time.  Where the layout tells only a rate, that is what
-    the store bears; loads that take longer than theirs, at engines that are busy or slow,
-    don't keep others from it, up to a bound.  `usual`: the rate's loads in the time that
-    they have been taking."""
-    told = loads["atOnce"]
+    """How many loads may be open at a time.  Where the layout limits only the rate, slow loads
+    must not use up the limit, so it grows up to a bound with the loads that the rate allows
+    during an average load.  `usual`: that number."""
+    configured = loads["atOnce"]
     if loads.get("adapters", True):
-        return told
-    return max(told, min(_MAX_LOADS_FACTOR * told, usual))
+        return configured
+    return max(configured, min(_MAX_LOADS_FACTOR * configured, usual))
 
 
 def store_allows(placer, now_ms, name, loads):
-    """Whether one more load keeps within the service's part of the store; takes it."""
+    """Whether the service's share of the weight store allows one more load; takes a token."""
     burst, per_ms = load_queue.store_rate(loads)
     out = ledgers.open_loads(placer.ledger, name, loads.get("adapters", True))
     if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(name, 0.0)):
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -1,11 +1,11 @@
-"""Which engine should hold what: a pure function of what is known.
-
-Wishes are taken in order of yielding, copy by copy.  First each partner gets
-its own share of the pool's room; what stays spare is then lent, in the same
-order, and given back as soon as the owner wishes for it, since every plan is
-made afresh.  Items already in place are preferred, then engines where nothing
-has to go, so that moves stay few.  Every wish unmet says which rule decided
-and whose wishes won.
+"""Computes which engine should hold which models and adapters.
+
+`place` is a pure function of the engines, the wishes and the items already loaded.  Wishes are
+served by ascending `yields`, one copy at a time.  Each partner first gets its own share of the
+pool's room.  Spare room is then lent in the same order; since every plan is computed from
+scratch, it returns to its owner as soon as the owner has a wish for it.  To keep moves few, an
+engine that already holds the item is preferred, then an engine where nothing has to be evicted.
+For each unmet wish the plan names the rule that prevented it and the wishes that won.
 """
 
 import hashlib
@@ -13,11 +13,14 @@
 
 __all__ = ["Engine", "Wish", "Plan", "place", "item_name", "BEST_EFFORT"]
 
+# Wishes with at least this `yields` are best effort: they get spare room only.
 BEST_EFFORT = 1000
 
 
 @dataclass(frozen=True)
 class Engine:
+    """An engine's zone and capacity: room in MB and adapter places."""
+
     name: str
     zone: str
     roomMb: int
@@ -26,6 +29,8 @@
 
 @dataclass(frozen=True)
 class Wish:
+    """A request for copies of a model or adapter.  `only`: the one engine allowed, or empty."""
+
     id: str
     partner: str
     model: str
@@ -40,7 +45,8 @@
 
 @dataclass
 class Plan:
-    """`targets`: engine -> item -> id of the wish that won it there."""
+    """A computed placement.  `targets`: engine -> item -> id of the wish that it serves there;
+    `unmet`: wish id -> why it is not fully met; `lent`: (engine, item) placed in spare room."""
 
     targets: dict = field(default_factory=dict)
     unmet: dict = field(default_factory=dict)
@@ -49,6 +55,8 @@
 
 @dataclass
 class _PlanInProgress:
+    """Remaining capacity, usage by partner and copies by wish while a plan is computed."""
+
     engines: dict
     shares: dict
     present: dict
@@ -62,11 +70,13 @@
 
 
 def item_name(model, adapter):
+    """The name of a model, or of an adapter as `model/adapter`."""
     return f"{model}/{adapter}" if adapter else model
 
 
 def place(engines, wishes, shares, present):
-    """`shares`: partner -> part of the room; `present`: engine -> items."""
+    """Compute a Plan.  `shares`: partner -> share of the total room; `present`: engine -> items
+    loaded or being loaded there."""
     work = _PlanInProgress(
         {e.name: e for e in engines},
         shares,
@@ -115,7 +125,7 @@
 
 
 def _place_copy(work, wish, own_share):
-    """Place one more copy of the wish; False if there is no way."""
+    """Place one more copy of the wish; False if no engine can take it."""
     item = item_name(wish.model, wish.adapter)
     mine = work.copies.setdefault(wish.id, set())
     found = [n for n in _zone_engines(work, wish) if n not in mine and _fits(work, wish, n)]
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -1,9 +1,9 @@
-"""The holder of a service shard: reports in, durable orders out.
+"""The lease holder of a service shard: reads reports and gives durable orders.
 
-A placer polls its engines, settles what their reports prove, plans, and logs
-an order before it sends it.  It sends nothing before the previous holder's
-last call must have ended, nothing to an engine whose report it has not read
-itself, and nothing that would outlast its own grant.
+A placer polls its engines, settles entries of the ledger by their reports, computes plans and
+logs each order before sending it.  It sends nothing until the last call of the previous lease
+holder must have ended, nothing to an engine whose report it hasn't read itself, and nothing that
+could outlast its own lease.
 """
 
 from configuration import registry as registries
@@ -30,14 +30,16 @@
 
 __all__ = ["on_taken_over", "tick", "on_called", "on_durable", "on_command", "new_poll"]
 
+# Of the call timeout: how long a node waits that was the previous lease holder itself.
 _SELF_TAKEOVER_FACTOR = 0.25
-# Of a call's time: the least time between two plans that answers bring about.
+# Of the call timeout: the least time between two plans triggered by responses.
 _MIN_PLAN_INTERVAL = 0.01
 
 
 def on_taken_over(placer, now_ms, settings):
-    """The shard is recovered: read reports, but order nothing yet.  A life of ours
-    that held it before is over, so only what it sent last may still be on its way."""
+    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.
+    If this node held the lease before, its earlier process has ended, and only the last calls
+    that it sent may still be in flight."""
     placer.ledger = ledgers.load(placer.held.checkpoint)
     for record in placer.held.records:
         ledgers.apply(placer.ledger, record)
@@ -52,7 +54,8 @@
 
 
 def tick(placer, now_ms, registry, shards, settings, lease_end_ms, lost):
-    """One round: poll, settle holds, plan, order.  `lost`: is a counter gone?"""
+    """One round: poll engines, expire waiting requests, plan and give orders.  `lost(name, life)`:
+    whether a counter (a node that routes requests) is gone."""
     if not placer.held.ready or placer.held.lost or now_ms >= lease_end_ms:
         return []
     effects = _poll_engines(placer, now_ms, registry, shards, settings)
@@ -89,7 +92,7 @@
 
 
 def new_poll(placer, now_ms, engine):
-    """The next call for an engine's report."""
+    """Record and return the next poll of an engine; each has an id of its own."""
     placer.report_count += 1
     poll = Poll(f"report:{engine}:{placer.report_count}", now_ms)
     engine_view.poll_sent(engine_view.view_of(placer, engine), poll)
@@ -97,7 +100,7 @@
 
 
 def _poll_due(placer, now_ms, engine, service, settings):
-    """Whether a report is to be asked for: not beside one that may still be answered."""
+    """Whether to request a report; not while the response to the last poll may still come."""
     last = engine_view.view_of(placer, engine["name"]).poll
     if last is None:
         return True
@@ -108,8 +111,8 @@
 
 
 def _poll_interval(placer, engine, service, settings):
-    """How long to wait between reports; where orders tell their own end, reports are
-    only for what was left in doubt, or for what the last one lacked."""
+    """How long to wait between reports.  With placement by demand, repeated calls show when an
+    order is done, so frequent reports are needed only while a state is uncertain."""
     view = engine_view.view_of(placer, engine["name"])
     if not service.get("byDemand") or not engine_view.count_known(view) or view.first_missing_ms:
         return settings.report_interval_ms
@@ -123,8 +126,8 @@
 
 
 def _drop_gone_engines(placer, now_ms, registry, settings):
-    """Forget engines the platform calls gone.  What they were loading is counted
-    until it can no longer ask the store; a new holder counts it from its start."""
+    """Drop engines that the platform has removed.  Their open loads are counted until they can
+    no longer read from the weight store; a new lease holder starts that time afresh."""
     for engine in [e for e in placer.ledger.incarnations if e not in registry.engines]:
         append_record(placer, ledgers.dropped_record(engine))
         placer.engines.pop(engine, None)
@@ -143,7 +146,7 @@
 
 
 def on_durable(placer, now_ms, then, registry, settings, lease_end_ms):
-    """Something that waited for DURABLE may be done now."""
+    """A record is committed: send the reply or the order that waited for it."""
     kind = then[0]
     if kind == "reply":
         return [Reply(then[1], then[2])]
@@ -167,8 +170,8 @@
 
 
 def _fits_current_sizes(placer, registry, facts):
-    """Whether a load still fits with the sizes told now: another configuration may be in force
-    than when the order was logged, and have grown what is charged beyond the room."""
+    """Whether a load still fits with the current sizes: the configuration may have changed since
+    the order was logged, and the charges may now exceed the engine's room."""
     logged_mb, logged_places = ledgers.charged(placer.ledger, facts["name"])
     used_mb, used_places = registry_view.charged(registry, placer.ledger, facts["name"])
     room_mb, places = registry_view.engine_room(registry, facts)
@@ -176,7 +179,7 @@
 
 
 def on_called(placer, now_ms, id_, called, registry, shards, settings):
-    """A call ended: a report is settled, an order's answer is logged."""
+    """A call to an engine ended: process the report or the response to an order."""
     pending = placer.calls.pop(id_, None)
     if pending is None:
         return []
@@ -195,7 +198,7 @@
 
 
 def _replan_soon(placer, now_ms, settings):
-    """Plan again now, but not for each of many answers that come at once."""
+    """Plan again soon, but only once for many responses that arrive together."""
     return (
         [Wake(max(now_ms, placer.plan.planned_ms + _MIN_PLAN_INTERVAL * settings.call_timeout_ms))]
         if settings.turnMs
@@ -204,7 +207,8 @@
 
 
 def on_command(placer, now_ms, token, verb, body, registry, settings):
-    """A counter puts a task in line, or takes it out; answered once durable."""
+    """A counter (a node that routes requests) reports demand, or a request starts or stops
+    waiting.  The reply to the latter is sent once the change is committed."""
     if verb == "wanted":
         for item, count in body["items"].items():
             demand.record_requests(placer.demand, now_ms, item, count)
@@ -231,7 +235,7 @@
 
 
 def _mark_served(placer, item):
-    """Whoever asks for an item, or leaves the line, while it is up has been served by it."""
+    """An item that is loaded serves its requests, so its unserved demand is cleared."""
     if item in placer.demand.unserved and any(
         ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines
     ):
--- a/libs/placement/src/placement/registry_view.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -1,7 +1,7 @@
-"""From the registry to what placement needs: engines, wishes, shares.
+"""Derives the input of placement from the registry: engines, wishes, shares and sizes.
 
-A service belongs to the shard that its name hashes to; shard 0 is kept for
-the layout and the engine list, so services spread over the others.
+Shard 0 holds the layout and the engine list.  Each service belongs to one of the other shards,
+chosen by a hash of its name.
 """
 
 import functools
@@ -28,27 +28,29 @@
 
 @functools.lru_cache(4096)
 def shard_of(service, shards):
+    """The shard that a service belongs to."""
     digest = hashlib.blake2b(service.encode(), digest_size=8).digest()
     return 1 + int.from_bytes(digest, "big") % (shards - 1)
 
 
 def services_of(registry, shard, shards):
+    """name -> service, of the services that belong to a shard."""
     return {n: s for n, s in registries.services(registry).items() if shard_of(n, shards) == shard}
 
 
 def usable(registry, engine):
-    """Whether new work may go to an engine at all."""
+    """Whether an engine accepts new work: it has joined, and its zone is not evacuated."""
     return engine["state"] == "join" and engine["zone"] not in registry.zones
 
 
 def engines_of(registry, service):
-    """A service's engines in the order of their names."""
+    """A service's engines, sorted by name."""
     found = [(name, e) for name, e in registry.engines.items() if e["service"] == service]
     return [engine for _, engine in sorted(found)]
 
 
 def item_size(registry, item):
-    """(room, places, partner) of an item, or None if no layout names it now."""
+    """(room in MB, adapter places, partner) of an item, or None if no layout defines it."""
     model, _, adapter = item.partition("/")
     found = registries.models(registry).get(model)
     if found is None:
@@ -62,26 +64,27 @@
 
 
 def entry_charge(registry, item, entry):
-    """(room, adapter places) that a ledger's entry may be using: its size when it was
-    ordered or the one told now, whichever is more, since a layout may have changed it."""
+    """(room, adapter places) to charge for a ledger entry: the larger of its size when it was
+    ordered and its size in the current layout."""
     told = item_size(registry, item) or (0, 0)
     return max(entry["mb"], told[0]), max(entry["places"], told[1])
 
 
 def charged(registry, ledger, engine):
-    """(room, adapter places) that all entries on this engine may be using."""
+    """(room, adapter places) that all ledger entries of an engine may be using."""
     items = ledger.engines.get(engine, {})
     charges = [entry_charge(registry, item, entry) for item, entry in items.items()]
     return sum(mb for mb, _ in charges), sum(places for _, places in charges)
 
 
 def shares_of(service):
+    """partner -> share of the service's room; all of it for the owner if none are configured."""
     return service["shares"] or {service["partner"]: 1.0}
 
 
 def wishes_of(registry, service, ledger):
-    """Standing wishes, then models that callers wait for, then what is merely
-    still there and may stay while nobody needs the room."""
+    """The wishes of the layout, then one for each item that waiting requests need, then one for
+    each item already on an engine, which stays only while its room isn't needed."""
     models = registries.models(registry)
     found = []
     for partner, section in sorted(registry.sections.items()):
@@ -151,7 +154,8 @@
 
 
 def placement_engines(registry, service, reports):
-    """Engines that placement may count on, with the smaller of told rooms."""
+    """Usable engines with a current report; each capacity is the smaller of the configured and
+    the reported one."""
     found = []
     for engine in engines_of(registry, service):
         report = reports.get(engine["name"])
@@ -169,7 +173,7 @@
 
 
 def engine_room(registry, engine):
-    """(room, adapter places) of an engine, its own or as its service's layout says."""
+    """(room, adapter places) of an engine: its own values, or the defaults of its service."""
     service = registries.services(registry).get(engine["service"], {})
     return (
         engine["roomMb"] or service.get("roomMb", 0),
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -1,4 +1,4 @@
-"""What a placer keeps in memory beside the shard's replicated ledger."""
+"""What a placer keeps in memory in addition to the shard's replicated ledger."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,13 @@
 
 @dataclass(frozen=True)
 class PlacerSettings:
-    """All in ms, ratios of the bounds in config."""
+    """Timing and size limits of a placer; `config` derives the times from its bounds.
+
+    `call_timeout_ms`: of a call to an engine; `report_interval_ms`: between reports of an engine;
+    `unreachable_ms`: after this time without an answer, an engine's last report is discarded;
+    `turnMs`: least wait before a new lease holder gives orders; with 0, plans are only computed on
+    ticks; `lagMs`: by how much the content of a report may be older than the request for it;
+    `max_holds`, `max_holds_per_model`: limits of waiting requests."""
 
     call_timeout_ms: float
     report_interval_ms: float
@@ -35,8 +41,8 @@
 
 @dataclass(frozen=True)
 class PendingCall:
-    """A call to an engine that hasn't ended; `item` and `order` are empty for a report.
-    `expected`: the count of orders that the engine is to have taken, None if any."""
+    """A call to an engine that is in flight; `item` and `order` are empty for a report.
+    `expected`: how many orders the engine must have taken before, None for any number."""
 
     verb: str
     engine: str
@@ -48,10 +54,11 @@
 
 @dataclass
 class PlanState:
-    """`tokens`: service -> (loads that the store bears now, at); `plans`: service -> (inputs,
-    plan); `queues`: service -> (engine, item) still to be loaded; `load_ms`: service -> how
-    long loads have been taking; `refused_ms`: (engine, item) -> when an order was refused;
-    `lingering_ms`: order -> since when its load is counted on an engine that is gone."""
+    """State of planning.  `tokens`: service -> (tokens in the weight store's bucket, time);
+    `plans`: service -> (inputs, plan); `queues`: service -> (engine, item) still to be loaded;
+    `load_ms`: service -> average duration of loads; `refused_ms`: (engine, item) -> when an
+    order was refused; `lingering_ms`: order -> since when its load counts as open although its
+    engine is gone."""
 
     tokens: dict = field(default_factory=dict)
     plans: dict = field(default_factory=dict)
@@ -64,7 +71,8 @@
 
 @dataclass
 class WaitQueueState:
-    """Of callers who wait: `since_ms` by id, and `hope_ms`, when each was told to be served."""
+    """Waiting requests by id: `since_ms`, when each began to wait; `estimated_ms`, when it was
+    first expected to be served."""
 
     since_ms: dict = field(default_factory=dict)
     estimated_ms: dict = field(default_factory=dict)
@@ -72,9 +80,12 @@
 
 @dataclass
 class Placer:
-    """The holder of a service's shard.  `engines`: name -> EngineView, what is known of each
-    engine beside the ledger's entries; `calls`: id -> PendingCall; `own`: whether this node
-    held the shard before as well."""
+    """State of the lease holder of a service shard.
+
+    `held`: the shard's log; `held_before`: whether this node was the previous lease holder too;
+    `not_before_ms`: no orders are given before this time; `engines`: name -> EngineView, what is
+    known of each engine beyond the ledger's entries; `calls`: id -> PendingCall; `notes`: log
+    lines not yet emitted."""
 
     shard: int
     epoch: int
@@ -96,6 +107,7 @@
 
 
 def append_record(placer, record, then=None):
-    """Apply a record to our own ledger and append it; `then` waits for DURABLE."""
+    """Apply a record to the ledger and append it to the log; `then` is passed to
+    `placer.on_durable` once the record is committed."""
     ledgers.apply(placer.ledger, record)
     shard_log.append(placer.held, record, then)
