--- a/libs/placement/src/placement/attempt_outcomes.py
+++ b/libs/placement/src/placement/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What is remembered of how attempts at engines ended; what follows is in `suspects`."""
+"""Decaying counts of how attempts at engines ended; `suspects` evaluates them."""
 
 import math
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass
 class Outcomes:
-    """Ends of attempts at an engine; older ones fade.  `late`: given up without an answer."""
+    """Decaying counts of attempts at an engine; `unanswered`: given up without a response."""
 
     good: float = 0.0
     bad: float = 0.0
@@ -16,7 +16,7 @@
     at_ms: float = 0.0
 
     def add(self, now_ms, fade_ms, good=0.0, bad=0.0, unanswered=0.0):
-        """Count ends that were seen just now."""
+        """Decay the counts and add attempts that have just ended."""
         kept = math.exp(-max(0.0, now_ms - self.at_ms) / fade_ms)
         self.good = self.good * kept + good
         self.bad = self.bad * kept + bad
@@ -26,7 +26,8 @@
 
 @dataclass
 class Suspicion:
-    """Until when an engine is left out, and for how many times the shortest while."""
+    """Until when a suspect engine gets no work; `backoff_factor`: that time as a multiple of the
+    shortest one."""
 
     until_ms: float
     backoff_factor: int
@@ -34,7 +35,7 @@
 
 @dataclass
 class OutcomeHistory:
-    """What a holder remembers of engines' outcomes, and of how often each was suspect."""
+    """What a lease holder knows of engines' outcomes, and each engine's last suspicion."""
 
     outcomes: dict = field(default_factory=dict)
     suspicions: dict = field(default_factory=dict)
--- a/libs/placement/src/placement/cluster_state.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -1,7 +1,7 @@
-"""The floor: what a node makes of the feed.
+"""The state that a node derives from the log feed: registry and ledgers.
 
-The registry of shard 0 and the ledgers of the service shards, kept up with
-the sections that a follower's book counted.
+Holds the registry of shard 0 and the ledgers of the service shards, and updates them with the
+log sections that a follower has applied.
 """
 
 from dataclasses import dataclass, field
@@ -25,8 +25,8 @@
 
 @dataclass(frozen=True)
 class LedgerChange:
-    """News of ledgers only: its number among the floor's `changes`, and the engines that
-    its records are about.  All else on the floor is as it was before."""
+    """An update that changed only ledgers: its number among the `changes` of the cluster state,
+    and the engines that its records concern."""
 
     number: int
     engines: frozenset
@@ -34,8 +34,8 @@
 
 @dataclass
 class ClusterState:
-    """`changes` counts the news that changed anything here.  `ledger_news` is the latest,
-    or None if it was not of ledgers only."""
+    """`changes` counts the updates that changed anything; `ledger_change` is the latest update,
+    or None if it changed more than ledgers."""
 
     shards: int
     zones: tuple = ()
@@ -47,7 +47,7 @@
 
 
 def apply_update(state, log_state, update):
-    """Apply a follower's news; True if anything that routing looks at changed."""
+    """Apply a follower's update; True if anything that routing uses changed."""
     state.changes += update.rebuilt or bool(update.sections)
     state.ledger_change = None
     if update.rebuilt:
@@ -81,6 +81,7 @@
 
 
 def ledger_of(state, shard):
+    """The ledger of a shard, a new and empty one if there is none yet."""
     found = state.ledgers.get(shard)
     if found is None:
         found = state.ledgers[shard] = ledgers.Ledger()
@@ -88,8 +89,8 @@
 
 
 def engines_with(state, service, item):
-    """Engines that may be given new work for an item (any, for a plain service): none that
-    is suspect, unless that leaves a plain service without any."""
+    """Engines that may get requests for an item (or any request, for a plain service).  Suspect
+    engines are left out, unless that would leave a plain service without engines."""
     ledger = ledger_of(state, registry_view.shard_of(service, state.shards))
     engines = state.registry.engines
     named = [name for name, e in engines.items() if e["service"] == service]
@@ -106,8 +107,8 @@
 
 
 def serving_engines(state, names=None):
-    """Engines that could serve something by now: plain ones that were reported,
-    others with something loaded.  Of those named, or of all."""
+    """Engines, of `names` or of all, that can serve requests: plain ones that have reported, and
+    others with an item loaded."""
     engines, found = state.registry.engines, []
     for name in engines if names is None else names & engines.keys():
         engine = engines[name]
@@ -121,6 +122,6 @@
 
 
 def incarnation(state, engine):
-    """The incarnation last reported of an engine."""
+    """The last reported incarnation of an engine."""
     ledger = ledger_of(state, registry_view.shard_of(engine["service"], state.shards))
     return ledger.incarnations.get(engine["name"], "")
--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -1,8 +1,8 @@
-"""What callers ask for, as counters tell it: rates that fade, kept by a placer.
+"""Demand for items as reported by counters: request rates that decay, kept by a placer.
 
-Beside the rates stands what is owed: an item that callers had to wait for is owed to them
-until one of them finds it up, also after they have left.  So many callers of a rare model,
-each of whom leaves before its turn, together bring it up for one who comes later.
+An item that requests had to wait for also has unserved demand, until a request finds it loaded.
+It remains when the requests have ended.  So many requests for a rare model that each end before
+it is loaded together get it loaded for later ones.
 """
 
 import math
@@ -20,18 +20,18 @@
 ]
 
 FADE_MS = 8000.0
-# What is owed fades so slowly that callers who come every some seconds add up.
+# Unserved demand decays so slowly that requests some seconds apart add up.
 _UNSERVED_FADE_MS = 4 * FADE_MS
-# Over how long the time of a request at its engine is averaged, and its bounds.
+# Averaging time of the time that a request spends at its engine, and bounds of the result.
 _REQUEST_TIME_FADE_MS = FADE_MS / 2
 _MIN_REQUEST_S, _MAX_REQUEST_S = 0.1, 4.0
-# With fewer askings a second nothing is learned from what runs.
+# With fewer requests per second, the running requests are no usable sample.
 _MIN_SAMPLE_RATE = 4.0
 
 
 @dataclass(frozen=True)
 class UnservedDemand:
-    """How many `callers` of a service had to wait for an item, as it stood at `at_ms`."""
+    """How many requests (`callers`) had to wait for an item of a service, as of `at_ms`."""
 
     service: str
     callers: float
@@ -40,8 +40,11 @@
 
 @dataclass
 class Demand:
-    """rates: item -> (asked for a second, at); owed: item -> Owed to callers who had to wait;
-    making: item -> (engine, since); run_s: how long a request has a slot, as observed."""
+    """`rates`: item -> (requests per second, time); `unserved`: item -> UnservedDemand;
+    `reserved`: item -> (engine where room is made for it, since); `loaded_at_ms`: (engine, item)
+    -> when it was loaded; `pauseMs`: engine -> until when it gets no order after a refusal;
+    `loaded_before`: engine -> items that it has loaded at some time; `request_s`: average time
+    for which a request occupies a slot."""
 
     rates: dict = field(default_factory=dict)
     unserved: dict = field(default_factory=dict)
@@ -55,37 +58,37 @@
 
 
 def record_requests(demand, now_ms, item, count):
-    """An item was asked for `count` times since it was last told of."""
+    """An item got `count` more requests since the last report."""
     demand.rates[item] = (request_rate(demand, now_ms, item) + count * 1000 / FADE_MS, now_ms)
 
 
 def request_rate(demand, now_ms, item):
-    """How often a second an item has been asked for lately."""
+    """The recent requests per second for an item."""
     old, at_ms = demand.rates.get(item, (0.0, now_ms))
     return old * math.exp(-max(0.0, now_ms - at_ms) / FADE_MS)
 
 
-def learn_request_time(demand, now_ms, running, asked):
-    """`running` requests are at the engines while `asked` come a second: by Little's law each
-    is there for their ratio.  Single values are chance, so they are averaged over a while."""
-    if asked < _MIN_SAMPLE_RATE:
+def learn_request_time(demand, now_ms, running, requests_per_s):
+    """`running` requests are at the engines while `requests_per_s` arrive: by Little's law, each
+    stays for their ratio.  Single samples vary, so they are averaged."""
+    if requests_per_s < _MIN_SAMPLE_RATE:
         return
-    since_ms = 0.0 if demand.request_learned_ms is None else now_ms - demand.request_learned_ms
-    share = 1 - math.exp(-since_ms / _REQUEST_TIME_FADE_MS)
-    seen_s = min(_MAX_REQUEST_S, max(_MIN_REQUEST_S, running / asked))
+    elapsed_ms = 0.0 if demand.request_learned_ms is None else now_ms - demand.request_learned_ms
+    share = 1 - math.exp(-elapsed_ms / _REQUEST_TIME_FADE_MS)
+    sample_s = min(_MAX_REQUEST_S, max(_MIN_REQUEST_S, running / requests_per_s))
     demand.request_s, demand.request_learned_ms = (
-        demand.request_s + share * (seen_s - demand.request_s),
+        demand.request_s + share * (sample_s - demand.request_s),
         now_ms,
     )
 
 
 def record_unserved(demand, now_ms, service, item):
-    """One more caller has to wait for an item, or is sent away."""
+    """One more request for an item has to wait or is refused."""
     demand.unserved[item] = UnservedDemand(service, unserved(demand, now_ms, item) + 1, now_ms)
 
 
 def unserved(demand, now_ms, item):
-    """How many callers have had to wait for an item since it last served one."""
+    """How many requests have had to wait for an item since it last served one, decayed."""
     known = demand.unserved.get(item)
     if known is None:
         return 0.0
@@ -93,5 +96,5 @@
 
 
 def clear_unserved(demand, item):
-    """A caller found the item up."""
+    """A request found the item loaded."""
     demand.unserved.pop(item, None)
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -1,11 +1,10 @@
-"""Placement by demand: what callers ask for comes up, what nobody asks for goes.
-
-For a service whose layout names no copies.  Counters tell how often each item
-was asked for; rates fade.  First come the items that somebody waits for, in the
-order of the line; then more copies of what is asked for most.  What gives way is
-what is worth least: seldom asked for, or up elsewhere too.  An engine carries
-out one order at a time, and one that makes room for an item is that item's
-until it is up, so that nothing is pushed out twice for the same wish.
+"""Placement by demand, for services whose layout doesn't configure copies.
+
+Counters (nodes that route requests) report how often each item was requested; these rates decay.
+Items with waiting requests are loaded first, by priority; then the most requested models get more
+copies.  The items of least value are evicted: rarely requested ones, or ones with further copies.
+An engine on which room is made for an item is reserved until the item is loaded, so that nothing
+is evicted twice for it.
 """
 
 from transport.rendezvous import weight
@@ -24,7 +23,7 @@
 
 __all__ = ["plan"]
 
-# The longest that an engine is kept for an item that it makes room for.
+# The longest time for which an engine is reserved for an item.
 _MAX_RESERVATION_MS = 9600.0
 _MAX_RATES = 4096
 _PAUSE_MS = 60.0
@@ -34,7 +33,7 @@
 
 
 def plan(placer, now_ms, registry, name, service, settings):
-    """Give the orders that are due now; at most one an engine."""
+    """Give the orders that are due now, at most one per engine."""
     engines = {
         e.name: e
         for e in registry_view.placement_engines(registry, name, engine_view.reports_of(placer))
@@ -65,14 +64,14 @@
     view.hosts = demand_view.hosts_of(placer, engines)
     running = [placer.engines[name].report.running for name in engines]
     if None not in running:
-        asked = sum(rate for item, rate in view.rates.items() if "/" not in item)
-        learn_request_time(placer.demand, now_ms, sum(running), asked)
+        requests_per_s = sum(rate for item, rate in view.rates.items() if "/" not in item)
+        learn_request_time(placer.demand, now_ms, sum(running), requests_per_s)
     return view
 
 
 def _place_missing(view):
-    """Adapters first, which come up in a moment but wait behind any load of a model; then
-    what is asked for most, what is waited for by claim, and more copies."""
+    """Load adapters first: they load fast but would wait behind any model.  Then load copies that
+    the demand needs, missing models by priority, and spare copies."""
     missing = [
         item
         for item in view.wanted
@@ -94,7 +93,7 @@
 
 
 def _seed_rates(view):
-    """Before anybody has told what is asked for, many copies speak of much demand."""
+    """Until counters report demand, the number of copies of a model stands for its rate."""
     view.placer.demand.seeded = True
     for model, copies in view.copies.items():
         if "/" not in model:
@@ -102,7 +101,7 @@
 
 
 def _expire_reservations(view):
-    """Engines are no longer kept for what nobody waits for any more."""
+    """Drop reservations that are old or no longer wanted, and rates that have decayed."""
     demand = view.placer.demand
     demand.reserved = {
         item: (engine, since_ms)
@@ -117,15 +116,15 @@
 
 
 def _is_wanted(view, item):
-    """Whether an item is to come up, or to have one more copy."""
+    """Whether an item is to be loaded, or to get one more copy."""
     copies = view.copies.get(item, 0)
     if not copies:
         return item in view.wanted
     return copies < eviction.wanted_copies(view, item)
 
 
-def _place_item(view, item, most):
-    """Have an item come up somewhere, if it isn't up or on its way."""
+def _place_item(view, item, max_cost):
+    """Give the next order towards loading an item, unless it is loaded or being loaded."""
     if view.copies.get(item):
         return
     model, _, adapter = item.partition("/")
@@ -133,7 +132,7 @@
         if view.copies.get(model):
             _place_adapter(view, item, model)
         return
-    _place_model(view, item, (), most)
+    _place_model(view, item, (), max_cost)
 
 
 def _place_adapter(view, item, model):
@@ -161,35 +160,39 @@
 
 
 def _blocked_adapter_rate(view, name):
-    """Askings a second for adapters that no engine could bring up while this one loads: it
-    carries out one order at a time, and its models' other hosts are busy."""
+    """Requests per second for adapters that only this engine could load now: it carries out one
+    order at a time, and all other hosts of their models are busy."""
     return sum(
-        asked
-        for model, asked in view.adapter_rates.items()
+        requests_per_s
+        for model, requests_per_s in view.adapter_rates.items()
         if name in (hosts := view.hosts.get(model, ()))
         and not any(other != name and other in view.idle for other in hosts)
     )
 
 
-def _place_model(view, model, beside, most):
-    """Choose the engine where a model costs least, and take the next step there."""
+def _place_model(view, model, current_hosts, max_cost):
+    """Choose the engine where a model costs least, and give the next order there."""
     size_mb = registry_view.item_size(view.registry, model)[0]
-    kept = view.placer.demand.reserved.get(model)
-    names = [kept[0]] if kept else [n for n in sorted(view.idle) if n not in beside]
-    taken = {m[0] for i, m in view.placer.demand.reserved.items() if i != model}
+    reservation = view.placer.demand.reserved.get(model)
+    names = (
+        [reservation[0]]
+        if reservation
+        else [n for n in sorted(view.idle) if n not in current_hosts]
+    )
+    reserved_engines = {m[0] for i, m in view.placer.demand.reserved.items() if i != model}
     found = []
     for name in names:
         if (
-            name in taken
+            name in reserved_engines
             or name not in view.idle
             or model in view.placer.ledger.engines.get(name, {})
         ):
             continue
         pushed = eviction.eviction_for(view, name, model, size_mb)
-        if pushed is None or pushed[0] > most:
+        if pushed is None or pushed[0] > max_cost:
             continue
         known = model in view.placer.demand.loaded_before.get(name, ())
-        zones = sum(1 for n in beside if view.engines[n].zone == view.engines[name].zone)
+        zones = sum(1 for n in current_hosts if view.engines[n].zone == view.engines[name].zone)
         found.append(
             (
                 pushed[0] * (0.6 if known else 1.0)
@@ -208,7 +211,7 @@
 
 
 def _order_next_step(view, name, item, out):
-    """Push out what is in the way, or load if nothing is and the store bears it."""
+    """Unload the first item to evict, or load if there is none and the store allows it."""
     items = view.placer.ledger.engines.get(name, {})
     if out:
         view.idle.discard(name)
@@ -233,18 +236,18 @@
 
 
 def _add_copies(view, copies_of, share):
-    """One more copy of each model that has fewer than `copies_of` says, where that costs less
-    than it brings, a `share` of what is asked of it; most asked for first."""
+    """Add a copy of each model that has fewer than `copies_of` returns, most requested first, if
+    it costs less than its value: a `share` of the model's rate per copy."""
     if not view.idle:
         return
     found = [
-        (-asked, item)
-        for item, asked in view.rates.items()
+        (-requests_per_s, item)
+        for item, requests_per_s in view.rates.items()
         if "/" not in item and 0 < view.copies.get(item, 0) < copies_of(view, item)
     ]
-    for asked, model in sorted(found):
+    for requests_per_s, model in sorted(found):
         if not view.idle:
             return
-        beside = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
-        most = -asked * share / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
-        _place_model(view, model, beside, most)
+        current_hosts = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
+        max_cost = -requests_per_s * share / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
+        _place_model(view, model, current_hosts, max_cost)
--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -1,4 +1,4 @@
-"""What one pass of placement by demand looks at: engines, copies, askings and claims."""
+"""The input of one pass of placement by demand: engines, copies, request rates and priorities."""
 
 from dataclasses import dataclass, field
 
@@ -20,26 +20,27 @@
     "waiting_requests",
 ]
 
-# A claim's least, and what each caller adds for a second that it has waited.
+# Priority of an item that is waited for, in requests per second: a base, and what each waiting
+# request adds.
 _BASE_PRIORITY = 0.4
 _PER_REQUEST = 0.4
-# What one who has waited in vain counts beside one who waits.
+# Weight of a request that ended unserved, relative to a waiting one.
 _UNSERVED_WEIGHT = 1.0
-# Callers who left unserved: with fewer nothing is brought up for those to come.
+# With less unserved demand, nothing is loaded for requests to come.
 _MIN_UNSERVED = 0.5
-# How much less a caller counts for each class that is more urgent than its own.
+# How much less a request counts for each class that is more urgent than its own.
 _CLASS_DISCOUNT = 0.2
-# Askings a second that make no difference any more.
+# Requests per second below which an item is left out.
 _MIN_RATE = 0.001
 
 
 @dataclass
 class DemandView:
-    """`engines`: name -> Engine; `copies`: item -> how many hold or load it; `waiting`: item
-    -> (since when, weight) of each caller in line; `wished`: items that are waited for, or
-    owed to callers who have left; `rates`: item -> askings a second;
-    `adapters`: model -> askings a second for its adapters; `idle`: names of the engines that
-    may be given an order now; `hosts`: model -> names of the engines where it is up."""
+    """`engines`: name -> Engine; `copies`: item -> how many engines hold or load it; `waiting`:
+    item -> (since when, weight) of each waiting request; `wanted`: items with waiting requests
+    or unserved demand; `rates`: item -> requests per second; `adapter_rates`: model -> requests
+    per second for its adapters; `idle`: names of engines that can be given an order now;
+    `hosts`: model -> names of engines where it is loaded."""
 
     placer: object
     now_ms: float
@@ -57,23 +58,25 @@
 
 
 def request_rates(demand, now_ms):
-    """item -> askings a second, of what has been asked for lately at all."""
+    """item -> requests per second, of items with recent requests."""
     rates = {item: request_rate(demand, now_ms, item) for item in demand.rates}
-    return {item: asked for item, asked in rates.items() if asked > _MIN_RATE}
+    return {
+        item: requests_per_s for item, requests_per_s in rates.items() if requests_per_s > _MIN_RATE
+    }
 
 
 def adapter_rates(rates):
-    """model -> askings a second for its adapters."""
+    """model -> requests per second for its adapters."""
     found: dict = {}
-    for item, asked in rates.items():
+    for item, requests_per_s in rates.items():
         model, _, adapter = item.partition("/")
         if adapter:
-            found[model] = found.get(model, 0.0) + asked
+            found[model] = found.get(model, 0.0) + requests_per_s
     return found
 
 
 def waiting_requests(placer, now_ms, name):
-    """item -> (since when, weight by class) of each that waits for it in line."""
+    """item -> (since when, weight by class) of each request that waits for it."""
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] == name:
@@ -85,19 +88,19 @@
 
 
 def wanted_items(view):
-    """Items that somebody waits for, or did not long ago without being served: whoever asks
-    next finds them up, also if a load takes longer than anybody waits."""
+    """Items with waiting requests or recent unserved demand.  The latter gets an item loaded for
+    later requests even if a load takes longer than any request waits."""
     demand = view.placer.demand
-    owing = {
+    with_unserved = {
         item
         for item, known in demand.unserved.items()
         if known.service == view.name and unserved(demand, view.now_ms, item) > _MIN_UNSERVED
     }
-    return owing | view.waiting.keys()
+    return with_unserved | view.waiting.keys()
 
 
 def copies_of(placer, engines):
-    """item -> how many engines hold it or are loading it."""
+    """item -> how many engines hold or load it."""
     found: dict = {}
     for name in engines:
         for item, entry in placer.ledger.engines.get(name, {}).items():
@@ -107,22 +110,21 @@
 
 
 def priority(view, item):
-    """How much may be lost, in askings a second, for an item that is waited for: the
-    more so the more wait for it, the longer they have, the more urgent they are and the
-    more have waited in vain before them.  While nobody waits, only what is asked for less
-    often gives way for those to come."""
+    """How much value, in requests per second, may be evicted to load an item.  It grows with the
+    number of waiting requests, their wait and their urgency, and with the unserved demand.
+    Without waiting requests, an item only displaces items that are requested less often."""
     callers = view.waiting.get(item, ())
     if not callers:
         return view.rates.get(item, 0.0)
     oldest_ms = min(since_ms for since_ms, _ in callers)
     waited_s = (view.now_ms - oldest_ms) / 1000
     waiting = sum(weight for _, weight in callers) * (1 + waited_s)
-    in_vain = _UNSERVED_WEIGHT * unserved(view.placer.demand, view.now_ms, item)
-    return _BASE_PRIORITY + _PER_REQUEST * (waiting + in_vain)
+    unserved_weight = _UNSERVED_WEIGHT * unserved(view.placer.demand, view.now_ms, item)
+    return _BASE_PRIORITY + _PER_REQUEST * (waiting + unserved_weight)
 
 
 def hosts_of(placer, engines):
-    """model -> names of the engines where it is up."""
+    """model -> names of the engines where it is loaded."""
     found: dict = {}
     for name in engines:
         for item in placer.ledger.engines.get(name, {}):
@@ -132,7 +134,7 @@
 
 
 def is_idle(placer, now_ms, engine):
-    """Whether an order may be given to an engine now."""
+    """Whether an engine can be given an order now."""
     if placer.demand.pauseMs.get(engine, 0.0) > now_ms:
         return False
     view = placer.engines.get(engine)
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -111,7 +111,7 @@
     last_ms = lease_end_ms - settings.call_timeout_ms
     if now_ms >= last_ms or placer.held.lost:
         return []
-    effects, soon_ms = [], float("inf")
+    effects, next_wake_ms = [], float("inf")
     for engine in registry_view.engines_of(registry, name):
         view = placer.engines.get(engine["name"])
         if (
@@ -131,7 +131,7 @@
                 order_call, _expected_duration_ms(placer, name, item, entry)
             )
             if now_ms < next_ms:
-                soon_ms = min(soon_ms, next_ms)
+                next_wake_ms = min(next_wake_ms, next_ms)
                 continue
             pause_ms = max(_MIN_REPEAT_PAUSE_MS, _REPEAT_BACKOFF * pause_ms)
             engine_view.schedule_repeat(view, order, now_ms + pause_ms, pause_ms)
@@ -150,8 +150,8 @@
                     last_ms,
                 )
             )
-            soon_ms = min(soon_ms, now_ms + pause_ms)
-    return effects + ([Wake(soon_ms)] if effects or soon_ms < float("inf") else [])
+            next_wake_ms = min(next_wake_ms, now_ms + pause_ms)
+    return effects + ([Wake(next_wake_ms)] if effects or next_wake_ms < float("inf") else [])
 
 
 def _next_repeat(order_call, usual_ms):
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -1,9 +1,9 @@
-"""Following the platform's list of engines: one node reads it for all.
+"""Follows the platform's list of engines; one node reads it for all.
 
-The holder of shard 0 asks for the list, page by page, and logs only what has
-changed.  An engine is gone only if a list that came whole doesn't name it; one
-that failed to come says nothing.  How long an engine is still slow is logged
-when it starts, and again only if the list says more than was expected.
+The lease holder of shard 0 requests the list page by page and logs only the changes.  An engine
+is removed only if a complete list lacks it; an incomplete list changes nothing for engines that
+it lacks.  The remaining warm-up time of an engine is logged when it starts, and again only if the
+list says that it will take longer than expected.
 """
 
 from dataclasses import dataclass, field
@@ -18,6 +18,9 @@
 
 @dataclass
 class EngineListPoll:
+    """State of reading the list: the current `round`, the `token` of the next page, whether a page
+    is requested (`open`), the engines `found` so far, and when each will be warm."""
+
     requested_ms: float = -1e12
     round: int = 0
     token: str = ""
@@ -27,7 +30,7 @@
 
 
 def tick(poll, now_ms, settings, address, id_):
-    """Ask for the first page when it is time; `id_` makes a call's id."""
+    """Request the first page when it is due; `id_` is the prefix of the call's id."""
     if (
         not address
         or now_ms - poll.requested_ms < settings.list_interval_ms
@@ -51,7 +54,7 @@
 
 
 def on_called(poll, now_ms, id_, called, registry, settings, address, prefix):
-    """(effects, changed engines): the next page is asked for, or the list is whole."""
+    """(effects, changed engines): requests the next page, or compares a complete list."""
     if id_ != f"list:{poll.round}" or not poll.open:
         return [], []
     if called.code != 200 or not isinstance(called.body.get("engines"), list):
@@ -73,11 +76,11 @@
         old = registry.engines.get(name)
         plain = {k: v for k, v in engine.items() if k != "warmMs"}
         warmMs = int(engine.get("warmMs", 0))
-        colder = (
+        warmup_extended = (
             warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
         )
-        if old is None or colder or any(old.get(k) != v for k, v in plain.items()):
-            if colder:
+        if old is None or warmup_extended or any(old.get(k) != v for k, v in plain.items()):
+            if warmup_extended:
                 poll.warm_until_ms[name] = now_ms + warmMs
             left_ms = max(0, int(poll.warm_until_ms.get(name, now_ms) - now_ms))
             changed.append({**plain, **({"warmMs": left_ms} if left_ms else {})})
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -35,11 +35,11 @@
     _settle_entries(placer, now_ms, engine, report)
     if requested_ms < changed_ms:
         return
-    strange = _unexplained(placer, engine, report, _item_facts(registry, facts, report.items))
-    if strange:
-        order_notes.log_found(placer, now_ms, engine, strange, report)
+    unexplained = _unexplained(placer, engine, report, _item_facts(registry, facts, report.items))
+    if unexplained:
+        order_notes.log_found(placer, now_ms, engine, unexplained, report)
         append_record(
-            placer, ledgers.found_record(engine, report.incarnation, strange, facts["service"])
+            placer, ledgers.found_record(engine, report.incarnation, unexplained, facts["service"])
         )
     if not _hides_open_order(placer, engine, report):
         engine_view.learn_count(view, now_ms, report)
@@ -77,8 +77,8 @@
     """Log the new states that a report proves for the entries of the ledger."""
     view, entries = placer.engines[engine], placer.ledger.engines.get(engine, {})
     for item, entry in list(entries.items()):
-        seen = report.items.get(item)
-        if seen == "loaded":
+        reported = report.items.get(item)
+        if reported == "loaded":
             view.first_missing_ms.pop((item, entry["order"]), None)
         elif report.busy:
             continue
@@ -92,14 +92,14 @@
     engine_view.forget_ended(view, entries)
 
 
-def _unexplained(placer, engine, report, told):
+def _unexplained(placer, engine, report, item_facts):
     """Reported items that no order explains, or whose size the layout has defined since."""
     held = placer.ledger.engines.get(engine, {})
     return {
-        item: told[item]
-        for item, seen in report.items.items()
-        if (item not in held and seen != "unloading")
-        or (told[item]["sized"] and _lacks_size(held.get(item)))
+        item: item_facts[item]
+        for item, reported in report.items.items()
+        if (item not in held and reported != "unloading")
+        or (item_facts[item]["sized"] and _lacks_size(held.get(item)))
     }
 
 
@@ -126,9 +126,9 @@
     view, found = placer.engines[engine], set()
     for item, entry in placer.ledger.engines.get(engine, {}).items():
         ended_ms = engine_view.ended_ms(view, entry["order"])
-        flying = ended_ms is None or ended_ms >= requested_ms
+        in_flight = ended_ms is None or ended_ms >= requested_ms
         if entry["order"] and (
-            entry["state"] == "unknown" or (entry["state"] == "intended" and flying)
+            entry["state"] == "unknown" or (entry["state"] == "intended" and in_flight)
         ):
             found.add(item)
     return found
@@ -176,20 +176,20 @@
     open_ = entry["state"] in _OPEN_STATES
     if open_ and not _can_settle(placer, view, entry, report.requested_ms):
         return None
-    seen = report.items.get(item)
+    reported = report.items.get(item)
     if entry["verb"] == "load":
-        return _settled_load_state(now_ms, view, item, entry, report, seen)
-    if seen is None:
+        return _settled_load_state(now_ms, view, item, entry, report, reported)
+    if reported is None:
         return "unloaded"
-    if seen == "loaded" and entry["state"] in ("unknown", "intended"):
+    if reported == "loaded" and entry["state"] in ("unknown", "intended"):
         return "loaded"
     return None
 
 
-def _settled_load_state(now_ms, view, item, entry, report, seen):
-    if seen == "loaded":
+def _settled_load_state(now_ms, view, item, entry, report, reported):
+    if reported == "loaded":
         return "loaded" if entry["state"] != "loaded" else None
-    if seen is None and (
+    if reported is None and (
         entry["state"] == "taken"
         or _confirmed_missing(view, now_ms, item, entry["order"], report.requested_ms)
     ):
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -1,4 +1,4 @@
-"""What gives way so that a model can be loaded: worth of copies, and room that they free."""
+"""Decides which models are evicted for another: the value and the room of their copies."""
 
 import math
 
@@ -7,47 +7,47 @@
 
 __all__ = ["SPARE_COPY_FACTOR", "needed_copies", "eviction_for", "wanted_copies", "copy_value"]
 
-# Parts of their slots that a model's copies may be busy at: with fewer copies callers are
-# turned away, and with more than these nothing is gained.
+# Share of their slots that a model's copies have in use: above the first, requests are refused;
+# copies beyond the second gain nothing.
 _MAX_UTILIZATION = 0.5
 _TARGET_UTILIZATION = 0.3
 _DEFAULT_SLOTS = 16
-# Askings a second from which on a model isn't left to a single engine.
+# Requests per second above which a model should be on two engines.
 _REDUNDANCY_RATE = 2.0
-# What a copy counts that is only there for bursts, and one that nobody needs.
+# Factors for the value of a copy that is only needed for bursts, and of a surplus one.
 SPARE_COPY_FACTOR = 0.5
 _SURPLUS_COPY_FACTOR = 0.05
-# A model that has just come up isn't pushed out before those who waited for it can have
-# come; what they have begun is finished before it goes.
+# A model that has just been loaded isn't evicted before the requests that waited for it can
+# have started; an engine finishes requests that have started before it unloads the model.
 _MIN_RESIDENCE_MS = 500.0
 
 
 def copy_value(view, model):
-    """What would be lost with one copy of a model, in askings a second."""
+    """The value of one copy of a model, in requests per second."""
     copies = view.copies.get(model, 1)
-    asked = view.rates.get(model, 0.0) + 0.001
+    requests_per_s = view.rates.get(model, 0.0) + 0.001
     if copies <= 1:
-        return asked + (priority(view, model) if model in view.waiting else 0.0)
+        return requests_per_s + (priority(view, model) if model in view.waiting else 0.0)
     if copies <= needed_copies(view, model):
-        return asked / copies
+        return requests_per_s / copies
     if copies <= wanted_copies(view, model):
-        return SPARE_COPY_FACTOR * asked / copies
-    return _SURPLUS_COPY_FACTOR * asked / copies
+        return SPARE_COPY_FACTOR * requests_per_s / copies
+    return _SURPLUS_COPY_FACTOR * requests_per_s / copies
 
 
 def needed_copies(view, model):
-    """How many copies a model's demand fills: with fewer, callers are turned away."""
+    """How many copies a model's demand needs; with fewer, requests are refused."""
     return _copies_at(view, model, _MAX_UTILIZATION)
 
 
 def wanted_copies(view, model):
-    """How many copies leave a model's callers room for bursts and the loss of an engine."""
+    """How many copies leave spare slots for bursts and the loss of an engine."""
     least = 2 if view.rates.get(model, 0.0) > _REDUNDANCY_RATE else 1
     return max(least, _copies_at(view, model, _TARGET_UTILIZATION))
 
 
 def _copies_at(view, model, part):
-    """How many copies a model's demand keeps busy to a part of their slots."""
+    """How many copies a model's demand keeps at this utilization of their slots."""
     slots = max(1, view.service.get("slots") or _DEFAULT_SLOTS)
     return max(
         1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.request_s / (part * slots))
@@ -55,7 +55,7 @@
 
 
 def eviction_for(view, name, model, size_mb):
-    """(cost, models to push out) to make room for a model on an engine, or None."""
+    """(cost, models to evict) to make room for a model on an engine; None if there is no way."""
     items = view.placer.ledger.engines.get(name, {})
     usedMb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
     free_mb = view.engines[name].roomMb - usedMb
@@ -77,9 +77,9 @@
         )
         found.append((copy_value(view, other), other, own_mb))
     cost, out = 0.0, []
-    for its_worth, other, own_mb in sorted(found):
+    for value, other, own_mb in sorted(found):
         if free_mb >= size_mb:
             break
-        cost, free_mb = cost + its_worth, free_mb + own_mb
+        cost, free_mb = cost + value, free_mb + own_mb
         out.append(other)
     return (cost, tuple(out)) if free_mb >= size_mb else None
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -36,10 +36,9 @@
 
 @dataclass
 class Ledger:
-    """`engines`: engine -> item -> entry; `incarnations`: engine -> its last reported one;
-    `holds`: id -> waiting request; `unmet`: service -> wish id -> why it isn't met; `told`:
-    id -> [reason, retry after ms] of requests rejected while waiting; `lingering`: order ->
-    service, of open loads on engines that are gone; `suspects`: engines that get no work."""
+    """`engines`: engine -> item -> entry; `holds`: id -> waiting request; `unmet`: service -> wish
+    -> why; `told`: id -> [reason, retry after ms] of requests rejected while waiting; `lingering`:
+    order -> service, of open loads on removed engines; `suspects`: engines that get no work."""
 
     engines: dict = field(default_factory=dict)
     incarnations: dict = field(default_factory=dict)
@@ -90,7 +89,6 @@
 
 
 def hold_record(hold):
-    """A request began to wait for a model or adapter to be loaded."""
     return _encode({"k": "hold", "hold": hold})
 
 
@@ -225,7 +223,6 @@
 
 
 def dump(ledger):
-    """The checkpoint of a ledger."""
     return json.dumps(vars(ledger), separators=(",", ":")).encode()
 
 
@@ -250,5 +247,4 @@
 
 
 def lingered_record(order):
-    """A load on a removed engine has ended and is no longer counted."""
     return _encode({"k": "lingered", "order": order})
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -1,11 +1,10 @@
-"""The line: which load comes next, how long each will take, and who waits in vain.
-
-Loads that somebody waits for come first, the longest waiting before others, a
-lower class counting as if it had come some seconds later, so that nothing
-rare or of low class waits for ever.  From the order, the store's rate and how
-long loads have been taking follows an estimate; whoever's deadline that can't
-meet is told at once, with the time at which it will be there; so is one whose
-first estimate has passed by as much again with nothing begun.
+"""Orders the loads that are still due, and estimates how long requests wait for them.
+
+Loads that a request waits for come first, by the time since when it waits.  Each less urgent
+class counts as if the request had come some seconds later, so that no item and no class starves.
+The estimate follows from this order, the weight store's rate and the average duration of loads.
+A request whose deadline the estimate exceeds is rejected at once with the estimated time; so is
+one for which nothing has begun after twice the first estimate.
 """
 
 from configuration.schema import rank_of
@@ -24,20 +23,21 @@
     "waiting_since",
 ]
 
+# By how much each less urgent class counts as having come later.
 _CLASS_STEP_MS = 10000.0
 
 
 def store_rate(loads):
-    """(loads that may come at once, loads a ms after that) within a service's part."""
+    """(burst, loads per ms) of the token bucket for a service's share of the weight store."""
     burst = loads.get("burst", min(loads["atOnce"], loads["perMinute"] // 4))
     return burst, (loads["perMinute"] - burst) / 60000
 
 
-def waiting_since(placer, name):
-    """item -> since when, in effect, somebody waits for it."""
+def waiting_since(placer, service):
+    """item -> since when a request waits for it, adjusted by class."""
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
-        if hold["service"] != name:
+        if hold["service"] != service:
             continue
         at_ms = placer.wait_queue.since_ms.get(id_, 0.0) + rank_of(hold["class"]) * _CLASS_STEP_MS
         for item in {hold["model"], placement.item_name(hold["model"], hold["adapter"])}:
@@ -45,20 +45,20 @@
     return found
 
 
-def ordered_loads(placer, name, made, yields):
-    """(engine, item) still to be loaded, next one first."""
-    waited = waiting_since(placer, name)
+def ordered_loads(placer, service, plan, yields):
+    """(engine, item) of the plan's loads that are still due, in the order of loading."""
+    waiting = waiting_since(placer, service)
 
     def turn(place):
         engine, item = place
-        if item in waited and not _is_placed(placer, item):
-            return (0, waited[item], item, engine)
-        return (1, yields.get(made.targets[engine][item], placement.BEST_EFFORT), item, engine)
+        if item in waiting and not _is_placed(placer, item):
+            return (0, waiting[item], item, engine)
+        return (1, yields.get(plan.targets[engine][item], placement.BEST_EFFORT), item, engine)
 
     return sorted(
         (
             (engine, item)
-            for engine, targets in made.targets.items()
+            for engine, targets in plan.targets.items()
             for item in targets
             if item not in placer.ledger.engines.get(engine, {})
         ),
@@ -73,7 +73,7 @@
 
 
 def learn_load_time(placer, now_ms, engine, entry):
-    """A load was seen done: remember how long they take."""
+    """A load is done: update the average duration of the service's loads."""
     ended_ms, service = _call_ended_ms(placer, engine, entry), entry["service"]
     if ended_ms is not None:
         took_ms = now_ms - ended_ms
@@ -82,12 +82,12 @@
         )
 
 
-def estimate_wait(placer, now_ms, name, loads, item, settings):
-    """In how many ms an item will be up somewhere; None if nothing brings it.  What
-    a silent engine may be loading, or one that gets no work holds, is no hope."""
-    loadMs = placer.plan.load_ms.get(name, 2 * settings.report_interval_ms)
+def estimate_wait(placer, now_ms, service, loads, item, settings):
+    """In how many ms an item will be loaded on some engine; None if no load is planned.  Engines
+    that don't report or that get no work are not counted."""
+    loadMs = placer.plan.load_ms.get(service, 2 * settings.report_interval_ms)
     base, _, adapter = item.partition("/")
-    serving = _usable_engines(placer, name)
+    serving = _usable_engines(placer, service)
     entries = [
         (n, e)
         for n, items in placer.ledger.engines.items()
@@ -100,12 +100,12 @@
         ended = [_call_ended_ms(placer, n, e) for n, e in entries]
         start_ms = max(now_ms if at_ms is None else at_ms for at_ms in ended)
         return max(settings.report_interval_ms, loadMs - (now_ms - start_ms))
-    places = [n for n, (_, i) in enumerate(placer.plan.queues.get(name, ()), 1) if i == item]
+    places = [n for n, (_, i) in enumerate(placer.plan.queues.get(service, ()), 1) if i == item]
     if not places or not loads["atOnce"] or not loads["perMinute"]:
         return None
-    tokens = placer.plan.tokens.get(name, (0.0, now_ms))[0]
+    tokens = placer.plan.tokens.get(service, (0.0, now_ms))[0]
     per_ms = max(1e-9, store_rate(loads)[1])
-    open_loads = ledgers.open_loads(placer.ledger, name)
+    open_loads = ledgers.open_loads(placer.ledger, service)
     rate_ms = max(0.0, (places[0] - tokens) / per_ms)
     turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * loadMs
     steps = 2 if adapter and not _is_loaded_anywhere(placer, base) else 1
@@ -113,7 +113,7 @@
 
 
 def _call_ended_ms(placer, engine, entry):
-    """When the call of an entry's order ended, None if it hasn't or isn't known."""
+    """When the first call of an entry's order ended; None if it hasn't or isn't known."""
     view = placer.engines.get(engine)
     return None if view is None else engine_view.ended_ms(view, entry["order"])
 
@@ -122,28 +122,28 @@
     return any(ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines)
 
 
-def _usable_engines(placer, name):
-    """Engines that the last plan counted on: heard of, and open for new work."""
-    plan = placer.plan.plans.get(name)
+def _usable_engines(placer, service):
+    """Engines of the last plan: those that report and accept new work."""
+    plan = placer.plan.plans.get(service)
     return {e.name for e in plan[0][2]} if plan else set(engine_view.reports_of(placer))
 
 
-def reject_unservable(placer, now_ms, name, loads, made, settings):
-    """Tell those whom no plan has room for, or whose deadline can't be met."""
-    coming = {i for targets in made.targets.values() for i in targets}
-    serving = _usable_engines(placer, name)
+def reject_unservable(placer, now_ms, service, loads, plan, settings):
+    """Reject waiting requests that the plan has no room for or whose deadline can't be met."""
+    coming = {i for targets in plan.targets.values() for i in targets}
+    serving = _usable_engines(placer, service)
     coming |= {i for n, items in placer.ledger.engines.items() if n in serving for i in items}
     placer.wait_queue.estimated_ms = {
         i: ms for i, ms in placer.wait_queue.estimated_ms.items() if i in placer.ledger.holds
     }
     for id_, hold in list(placer.ledger.holds.items()):
-        if hold["service"] != name:
+        if hold["service"] != service:
             continue
         item = placement.item_name(hold["model"], hold["adapter"])
         if item not in coming:
             _release(placer, id_, "no-room", 10 * settings.call_timeout_ms)
             continue
-        wait_ms = estimate_wait(placer, now_ms, name, loads, item, settings)
+        wait_ms = estimate_wait(placer, now_ms, service, loads, item, settings)
         end_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
@@ -159,8 +159,8 @@
 
 
 def drop_lost_counters(placer, lost):
-    """A counter's death frees the places of those who waited at it; `lost` says
-    of a counter's name and life whether it is gone."""
+    """Remove the waiting requests of counters (nodes that route requests) that are gone;
+    `lost(name, life)` says whether one is."""
     for id_, hold in list(placer.ledger.holds.items()):
         if lost(hold.get("node", ""), hold.get("life", "")):
             _release(placer, id_, "counter-lost", 1000)
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -1,8 +1,8 @@
-"""What a placer writes to its log: each order, on what ground it was given and settled.
+"""The log lines of a placer: each order, and the response or report that settled it.
 
-A line an order and a line an end are enough to work out afterwards which answer or report
-made the placer think that an engine had room.  Lines are collected while the placer works
-and handed to the shell as `Note` effects by `drain`.
+One line for an order and one for its end show afterwards which response or report made the placer
+conclude that an engine had room.  Lines are collected while the placer works and emitted as `Note`
+effects by `drain`.
 """
 
 from transport.effects import Note
@@ -24,7 +24,7 @@
 
 
 def drain(placer):
-    """The lines collected so far, as effects."""
+    """Return the lines collected so far, and forget them."""
     notes, placer.notes = placer.notes, []
     return notes
 
@@ -50,8 +50,8 @@
 
 
 def log_response(placer, order, called, state, again):
-    """An order's answer; `again`: to a call that gave it again, `kept`: on a connection
-    that had carried other calls.  That it is still being carried out is no news."""
+    """The response to an order; `again`: to a repeated call, `kept`: on a connection that had
+    carried other calls.  A repeated call whose order is still in progress isn't logged."""
     if again and state == "taken":
         return
     _add(
@@ -87,7 +87,7 @@
 
 
 def log_found(placer, now_ms, engine, items, report):
-    """A report showed items that no order explains, or a new life of an engine."""
+    """A report showed items that no order explains, or a new incarnation of an engine."""
     _add(
         placer,
         "found",
@@ -107,8 +107,8 @@
 
 
 def log_summary(placer, now_ms, service, facts_of):
-    """Once a second while callers wait: how many, for what, and what holds it up;
-    `facts_of()` tells it."""
+    """Once a second while requests wait: how many, for what, and what delays them, as returned
+    by `facts_of()`."""
     if summary_due(placer, now_ms):
         placer.summary_ms = now_ms
         _add(placer, "waiting", {"service": service, **facts_of()})
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -16,49 +16,53 @@
 _MAX_LOADS_FACTOR = 4
 
 
-def plan(placer, now_ms, registry, name, service, settings):
+def plan(placer, now_ms, registry, service_name, service, settings):
     """Compute the plan of a service and give the orders that may be given now."""
     placer.plan.refused_ms = {
         k: ms
         for k, ms in placer.plan.refused_ms.items()
         if now_ms - ms < 2 * settings.call_timeout_ms
     }
-    engines = registry_view.placement_engines(registry, name, engine_view.reports_of(placer))
-    made = _current_plan(placer, registry, name, service, engines)
+    engines = registry_view.placement_engines(
+        registry, service_name, engine_view.reports_of(placer)
+    )
+    target_plan = _current_plan(placer, registry, service_name, service, engines)
     if engines:
-        load_queue.reject_unservable(placer, now_ms, name, service["loads"], made, settings)
+        load_queue.reject_unservable(
+            placer, now_ms, service_name, service["loads"], target_plan, settings
+        )
     sizes = {e.name: e for e in engines}
     for engine in engines:
-        _unload_unwanted(placer, registry, engine, name, made, sizes)
-    for engine, item in placer.plan.queues[name]:
+        _unload_unwanted(placer, registry, engine, service_name, target_plan, sizes)
+    for engine, item in placer.plan.queues[service_name]:
         if _can_load(placer, registry, sizes[engine], item) and not _load(
-            placer, now_ms, registry, engine, item, name, service
+            placer, now_ms, registry, engine, item, service_name, service
         ):
             return
 
 
-def _current_plan(placer, registry, name, service, engines):
+def _current_plan(placer, registry, service_name, service, engines):
     """The service's plan, recomputed only when its inputs have changed."""
     inputs = (registry.stamp, placer.held.next, tuple(engines))
-    kept = placer.plan.plans.get(name)
+    kept = placer.plan.plans.get(service_name)
     if kept is not None and kept[0] == inputs:
         return kept[1]
     present = {
         e: {i for i, entry in items.items() if entry["verb"] == "load"}
         for e, items in placer.ledger.engines.items()
     }
-    wishes = registry_view.wishes_of(registry, name, placer.ledger)
-    made = placement.place(engines, wishes, registry_view.shares_of(service), present)
-    placer.plan.queues[name] = load_queue.ordered_loads(
-        placer, name, made, {w.id: w.yields for w in wishes}
+    wishes = registry_view.wishes_of(registry, service_name, placer.ledger)
+    target_plan = placement.place(engines, wishes, registry_view.shares_of(service), present)
+    placer.plan.queues[service_name] = load_queue.ordered_loads(
+        placer, service_name, target_plan, {w.id: w.yields for w in wishes}
     )
-    _log_unmet(placer, name, made, service)
-    placer.plan.plans[name] = (inputs, made)
-    return made
+    _log_unmet(placer, service_name, target_plan, service)
+    placer.plan.plans[service_name] = (inputs, target_plan)
+    return target_plan
 
 
-def _log_unmet(placer, name, made, service):
-    unmet = made.unmet
+def _log_unmet(placer, service_name, target_plan, service):
+    unmet = target_plan.unmet
     if service["loads"]["atOnce"] == 0 and not unmet:
         unmet = {
             "(all)": {
@@ -70,8 +74,8 @@
                 "shareSpent": False,
             }
         }
-    if placer.ledger.unmet.get(name, {}) != unmet:
-        append_record(placer, ledgers.unmet_record(name, unmet))
+    if placer.ledger.unmet.get(service_name, {}) != unmet:
+        append_record(placer, ledgers.unmet_record(service_name, unmet))
 
 
 def give_order(placer, engine, item, verb, mb, places, service):
@@ -99,7 +103,7 @@
     return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
-def _is_moving(placer, registry, engine, item, made, sizes):
+def _is_moving(placer, registry, engine, item, target_plan, sizes):
     """Whether another engine is loading the item or could, while this copy still serves."""
     return any(
         item in targets
@@ -109,14 +113,14 @@
             item in placer.ledger.engines.get(other, {})
             or _can_load(placer, registry, sizes[other], item)
         )
-        for other, targets in made.targets.items()
+        for other, targets in target_plan.targets.items()
     )
 
 
-def _unload_unwanted(placer, registry, engine, service, made, sizes):
+def _unload_unwanted(placer, registry, engine, service, target_plan, sizes):
     """Unload items that no layout defines any more and items whose room a target needs.  A copy
     that moves is unloaded only after it is loaded elsewhere, if there is room for both."""
-    targets = made.targets[engine.name]
+    targets = target_plan.targets[engine.name]
     items = placer.ledger.engines.get(engine.name, {})
     missing = [i for i in targets if i not in items]
     for item, entry in sorted(items.items(), reverse=True):
@@ -129,7 +133,7 @@
         if not _can_take_order(placer, engine.name):
             return
         if (engine.name, item) in placer.plan.refused_ms or _is_moving(
-            placer, registry, engine.name, item, made, sizes
+            placer, registry, engine.name, item, target_plan, sizes
         ):
             continue
         give_order(placer, engine.name, item, "unload", entry["mb"], entry["places"], service)
@@ -154,12 +158,12 @@
     )
 
 
-def _load(placer, now_ms, registry, engine, item, name, service):
+def _load(placer, now_ms, registry, engine, item, service_name, service):
     """Give a load order if the weight store's limits allow it; returns whether they do."""
-    if not store_allows(placer, now_ms, name, service["loads"]):
+    if not store_allows(placer, now_ms, service_name, service["loads"]):
         return False
     size = registry_view.item_size(registry, item)
-    give_order(placer, engine, item, "load", size[0], size[1], name)
+    give_order(placer, engine, item, "load", size[0], size[1], service_name)
     return True
 
 
@@ -173,14 +177,16 @@
     return max(configured, min(_MAX_LOADS_FACTOR * configured, usual))
 
 
-def store_allows(placer, now_ms, name, loads):
+def store_allows(placer, now_ms, service_name, loads):
     """Whether the service's share of the weight store allows one more load; takes a token."""
     burst, per_ms = load_queue.store_rate(loads)
-    out = ledgers.open_loads(placer.ledger, name, loads.get("adapters", True))
-    if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(name, 0.0)):
+    out = ledgers.open_loads(placer.ledger, service_name, loads.get("adapters", True))
+    if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(service_name, 0.0)):
         return False
-    tokens, at_ms = placer.plan.tokens.get(name, (burst if placer.epoch == 1 else 0.0, now_ms))
+    tokens, at_ms = placer.plan.tokens.get(
+        service_name, (burst if placer.epoch == 1 else 0.0, now_ms)
+    )
     tokens = min(burst, tokens + (now_ms - at_ms) * per_ms)
     allowed = tokens >= 1
-    placer.plan.tokens[name] = (tokens - 1 if allowed else tokens, now_ms)
+    placer.plan.tokens[service_name] = (tokens - 1 if allowed else tokens, now_ms)
     return allowed
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -89,15 +89,15 @@
     )
     for wish in wishes:
         work.sizes[wish.model] = wish.roomMb
-    turns = sorted(
+    queue = sorted(
         ((w.yields, copy, w.partner, w.id), w) for w in wishes for copy in range(w.copies)
     )
-    late = []
-    for _, wish in turns:
+    deferred = []
+    for _, wish in queue:
         if wish.yields >= BEST_EFFORT or not _place_copy(work, wish, True):
-            late.append(wish)
+            deferred.append(wish)
     missing = {}
-    for wish in late:
+    for wish in deferred:
         if not _place_copy(work, wish, False):
             missing[wish.id] = wish
     for wish in missing.values():
@@ -127,8 +127,8 @@
 def _place_copy(work, wish, own_share):
     """Place one more copy of the wish; False if no engine can take it."""
     item = item_name(wish.model, wish.adapter)
-    mine = work.copies.setdefault(wish.id, set())
-    found = [n for n in _zone_engines(work, wish) if n not in mine and _fits(work, wish, n)]
+    own_engines = work.copies.setdefault(wish.id, set())
+    found = [n for n in _zone_engines(work, wish) if n not in own_engines and _fits(work, wish, n)]
     if own_share:
         left_mb = (
             work.shares.get(wish.partner, 0.0) * work.totalMb
@@ -139,11 +139,11 @@
     if not found:
         return False
     zones: dict = {}
-    for name in mine:
+    for name in own_engines:
         zones[work.engines[name].zone] = zones.get(work.engines[name].zone, 0) + 1
     best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
     _assign(work, wish, item, best)
-    mine.add(best)
+    own_engines.add(best)
     if not own_share and wish.yields < BEST_EFFORT:
         work.plan.lent.add((best, item))
     return True
@@ -177,8 +177,8 @@
 
 def _unmet_reason(work, wish):
     zone = _zone_engines(work, wish)
-    mine = work.copies.get(wish.id, set())
-    others = [n for n in zone if n not in mine]
+    own_engines = work.copies.get(wish.id, set())
+    others = [n for n in zone if n not in own_engines]
     winners = sorted({w for n in others for w in work.plan.targets[n].values() if w != wish.id})
     if not zone:
         rule = "no-engine-in-zone"
@@ -195,7 +195,7 @@
     )
     return {
         "wanted": wish.copies,
-        "placed": len(mine),
+        "placed": len(own_engines),
         "rule": rule,
         "shareSpent": over_share,
         "partner": wish.partner,
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -37,9 +37,8 @@
 
 
 def on_taken_over(placer, now_ms, settings):
-    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.
-    If this node held the lease before, its earlier process has ended, and only the last calls
-    that it sent may still be in flight."""
+    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.  An
+    earlier lease holder on this node has ended, so only its last calls may be in flight."""
     placer.ledger = ledgers.load(placer.held.checkpoint)
     for record in placer.held.records:
         ledgers.apply(placer.ledger, record)
@@ -54,8 +53,7 @@
 
 
 def tick(placer, now_ms, registry, shards, settings, lease_end_ms, lost):
-    """One round: poll engines, expire waiting requests, plan and give orders.  `lost(name, life)`:
-    whether a counter (a node that routes requests) is gone."""
+    """Poll engines, expire waiting requests, plan, give orders; `lost`: is a counter gone?"""
     if not placer.held.ready or placer.held.lost or now_ms >= lease_end_ms:
         return []
     effects = _poll_engines(placer, now_ms, registry, shards, settings)
@@ -126,8 +124,8 @@
 
 
 def _drop_gone_engines(placer, now_ms, registry, settings):
-    """Drop engines that the platform has removed.  Their open loads are counted until they can
-    no longer read from the weight store; a new lease holder starts that time afresh."""
+    """Drop removed engines.  Their open loads are counted until they can no longer read from the
+    weight store; a new lease holder starts that time afresh."""
     for engine in [e for e in placer.ledger.incarnations if e not in registry.engines]:
         append_record(placer, ledgers.dropped_record(engine))
         placer.engines.pop(engine, None)
@@ -207,8 +205,8 @@
 
 
 def on_command(placer, now_ms, token, verb, body, registry, settings):
-    """A counter (a node that routes requests) reports demand, or a request starts or stops
-    waiting.  The reply to the latter is sent once the change is committed."""
+    """Handle a command of a counter (a node that routes requests): it reports demand, or starts or
+    ends the wait of a request, which is answered once committed."""
     if verb == "wanted":
         for item, count in body["items"].items():
             demand.record_requests(placer.demand, now_ms, item, count)
@@ -251,11 +249,11 @@
     if body["model"] not in registries.models(registry):
         return [Reply(token, failures.UnknownModel(body["service"], body["model"]))]
     item = placement.item_name(body["model"], body["adapter"])
-    for asked_for in {body["model"], item}:
-        demand.record_requests(placer.demand, now_ms, asked_for, 1)
-        demand.record_unserved(placer.demand, now_ms, body["service"], asked_for)
-    same = sum(1 for h in placer.ledger.holds.values() if h["model"] == body["model"])
-    if len(placer.ledger.holds) >= settings.max_holds or same >= settings.max_holds_per_model:
+    for requested_item in {body["model"], item}:
+        demand.record_requests(placer.demand, now_ms, requested_item, 1)
+        demand.record_unserved(placer.demand, now_ms, body["service"], requested_item)
+    same_model = sum(1 for h in placer.ledger.holds.values() if h["model"] == body["model"])
+    if len(placer.ledger.holds) >= settings.max_holds or same_model >= settings.max_holds_per_model:
         return [Reply(token, failures.Overloaded(int(10 * settings.call_timeout_ms), "waitlist"))]
     loads = registries.services(registry)[body["service"]]["loads"]
     if not loads["atOnce"] or not loads["perMinute"]:
--- a/libs/placement/src/placement/registry_view.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -66,8 +66,8 @@
 def entry_charge(registry, item, entry):
     """(room, adapter places) to charge for a ledger entry: the larger of its size when it was
     ordered and its size in the current layout."""
-    told = item_size(registry, item) or (0, 0)
-    return max(entry["mb"], told[0]), max(entry["places"], told[1])
+    current = item_size(registry, item) or (0, 0)
+    return max(entry["mb"], current[0]), max(entry["places"], current[1])
 
 
 def charged(registry, ledger, engine):
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -1,13 +1,12 @@
-"""Engines that answer badly though they seem well, found by what callers get from them.
-
-An engine may say that it is well, and hold what is asked for, and still fail, break off or
-never answer what it is sent; what it says of itself settles nothing.  Routers see how their
-attempts end and tell the holder of the engine's shard.  Once enough of them lately ended
-badly, or all of them without an answer, the holder logs the engine as suspect: it gets no
-work, and what it holds counts as missing.  After a while it is tried again; one that is
-found so again soon is left out for twice as long.  No more than a part of a service's
-engines is suspect at a time, so that a trouble that is not the engines' own shuts nobody
-out.
+"""Detects engines that fail requests although their reports look healthy.
+
+An engine may report that it is healthy and holds an item, and still fail, break off or never
+answer requests.  Routers record how their attempts end and report that to the lease holder of the
+engine's shard.  Once enough recent attempts have failed, or all of them got no response, the
+lease holder logs the engine as suspect: it gets no work, and its items count as missing.  After a
+while it gets work again; if it becomes suspect again soon, it is left out for twice as long.  Only
+a part of a service's engines may be suspect at a time, so that a fault outside the engines doesn't
+take all of them out of service.
 """
 
 from placement import ledger as ledgers
@@ -17,25 +16,26 @@
 
 __all__ = ["update_suspects", "record_outcomes"]
 
-# So many bad ends, and at least this share of all ends that were told, make a suspect.
+# An engine becomes suspect with this many recent failures and this ratio of all attempts.
 _MIN_FAILURES = 3.0
 _MIN_FAILURE_RATIO = 0.3
-# An engine that has answered fewer than this lately is silent, not merely overloaded.
+# With fewer recent successes, an engine is unresponsive rather than overloaded, and attempts
+# without a response count as failures.
 _MIN_SUCCESSES = 0.5
-# Of a service's engines, the share that may be suspect at a time.
+# The share of a service's engines that may be suspect at a time.
 _MAX_SUSPECT_RATIO = 1 / 3
 _MAX_BACKOFF_FACTOR = 4
 
 
-def record_outcomes(history, now_ms, told, fade_ms):
-    """A router's word: {engine: (good, bad, late)}, how many attempts ended so."""
-    for engine, (good, bad, late) in told.items():
+def record_outcomes(history, now_ms, counts, fade_ms):
+    """Record a router's counts of attempts, {engine: (good, bad, without a response)}."""
+    for engine, (good, bad, late) in counts.items():
         outcomes = history.outcomes.setdefault(engine, Outcomes(at_ms=now_ms))
         outcomes.add(now_ms, fade_ms, good, bad, late)
 
 
 def update_suspects(placer, now_ms, registry, shards, settings):
-    """Log who is suspect from now on, and who is tried again."""
+    """Log the engines that become suspect, and those that get work again."""
     for name in registry_view.services_of(registry, placer.shard, shards):
         engines = [engine["name"] for engine in registry_view.engines_of(registry, name)]
         _clear_expired(placer, now_ms, engines, settings)
@@ -44,7 +44,7 @@
 
 
 def _clear_expired(placer, now_ms, engines, settings):
-    """A holder that has just taken over doesn't know since when: it counts from now."""
+    """Clear suspects whose time is over; after a takeover, that time starts afresh."""
     history = placer.outcome_history
     for engine in engines:
         if engine not in placer.ledger.suspects:
@@ -58,20 +58,20 @@
 
 
 def _mark_suspects(placer, now_ms, engines, settings):
-    most = int(_MAX_SUSPECT_RATIO * len(engines))
+    limit = int(_MAX_SUSPECT_RATIO * len(engines))
     suspects = sum(engine in placer.ledger.suspects for engine in engines)
     for engine in engines:
-        if suspects >= most:
+        if suspects >= limit:
             return
         if engine in placer.ledger.suspects or not _is_failing(
             placer.outcome_history, now_ms, engine, settings
         ):
             continue
         before = placer.outcome_history.suspicions.get(engine)
-        again = before is not None and now_ms - before.until_ms < 4 * settings.unreachable_ms
-        times = min(_MAX_BACKOFF_FACTOR, 2 * before.backoff_factor) if again else 1
+        recent = before is not None and now_ms - before.until_ms < 4 * settings.unreachable_ms
+        factor = min(_MAX_BACKOFF_FACTOR, 2 * before.backoff_factor) if recent else 1
         placer.outcome_history.suspicions[engine] = Suspicion(
-            now_ms + times * settings.unreachable_ms, times
+            now_ms + factor * settings.unreachable_ms, factor
         )
         append_record(placer, ledgers.suspect_record(engine))
         suspects += 1
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -1,4 +1,4 @@
-"""Who waits for a service's models, and what keeps these from coming up."""
+"""Summarizes the requests that wait for a service's models, and what delays the loads."""
 
 from collections import Counter
 
@@ -9,8 +9,8 @@
 
 
 def summarize(view):
-    """Facts for the log: callers and models that are waited for, the longest wait in ms,
-    and for those that are neither up nor on their way what holds them up at most engines."""
+    """Facts for the log: the waiting requests, the models they wait for, the longest wait in ms,
+    and for models neither loaded nor being loaded the reason that applies at most engines."""
     callers = [since_ms for found in view.waiting.values() for since_ms, _ in found]
     models = [item for item in view.waiting if "/" not in item]
     missing = [model for model in models if not view.copies.get(model)]
@@ -39,10 +39,10 @@
 def _engine_reason(view, model, size_mb, name):
     kept = view.placer.demand.reserved.items()
     if any(engine == name and other != model for other, (engine, _) in kept):
-        return "engine kept for another"
+        return "engine kept for another model"
     if name not in view.idle:
         return "engine busy"
     pushed = eviction.eviction_for(view, name, model, size_mb)
     if pushed is None:
-        return "nothing may give way"
-    return "worth less" if pushed[0] > priority(view, model) else "store"
+        return "no room can be freed"
+    return "lower priority" if pushed[0] > priority(view, model) else "store"
