--- a/tests/test_adapters_first.py
+++ b/tests/test_adapters_first.py
@@ -1,7 +1,8 @@
-"""Adapters come up in a moment, but an engine carries out one order at a time: callers of an
-adapter don't wait behind one load of a model after another, however urgent those are."""
+"""Adapters load fast, but an engine carries out one order at a time.  Requests for an adapter must
+not wait behind one model load after another, however urgent those are.
+"""
 
-from test_platform_asked import ADAPTERS, DemandScenario
+from test_demand_placement import ADAPTERS, DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
@@ -13,8 +14,8 @@
 
 
 class Crowded(DemandScenario):
-    """More rare models are waited for, by the most urgent class, than engines can load; the
-    first model is up and its adapters are asked for as well."""
+    """More rare models are requested, by the most urgent class, than engines can load.  One model
+    is loaded, and its adapters are requested too."""
 
     def __init__(self, seed):
         super().__init__(seed, models=40, engines=4, per_s=8.0, loadS=LOAD_S)
@@ -67,13 +68,13 @@
 
 
 class AdaptersFirst(TestCase):
-    def test_they_wait_for_one_load_at_most(self):
+    def test_adapters_wait_for_one_load_at_most(self):
         for seed in SEEDS:
-            floor = Crowded(seed).played()
-            waits_ms = floor.adapter_waits_ms
-            self.assertThat(sorted(waits_ms), Equals(sorted(floor.adapters)), str(seed))
+            scenario = Crowded(seed).played()
+            waits_ms = scenario.adapter_waits_ms
+            self.assertThat(sorted(waits_ms), Equals(sorted(scenario.adapters)), str(seed))
             self.assertThat(max(waits_ms.values()), LessThan(1.5 * LOAD_S * 1000), str(seed))
 
-    def test_rare_models_come_up_as_well(self):
+    def test_rare_models_are_loaded_too(self):
         for seed in SEEDS:
             self.assertThat(len(Crowded(seed).played().rare_up), GreaterThan(10), str(seed))
--- a/tests/test_moves.py
+++ b/tests/test_copy_moves.py
@@ -1,4 +1,4 @@
-"""Moves: a copy is up at its new place before the old one goes, if room allows."""
+"""A copy that moves is loaded on its new engine before the old one unloads it, if room allows."""
 
 import json
 
@@ -12,13 +12,13 @@
 TERMS = state.PlacerSettings(call_timeout_ms=900.0, report_interval_ms=400.0, unreachable_ms=3000.0)
 
 
-class Moves(TestCase):
+class CopyMoves(TestCase):
     def setUp(self):
         super().setUp()
         self.reg = registry.Registry(zonesKnown=("x", "y"))
         self.p = state.Placer(1, 1, shard_log.ShardLog(1, 1, ready=True))
 
-    def floor(self, roomMb, wishes):
+    def configure(self, roomMb, wishes):
         """Engine e0 in zone x and e1 in zone y; `wishes`: model -> zone."""
         self.decide(
             "engines",
@@ -77,7 +77,7 @@
         engine_view.view_of(self.p, engine).report = Report("i", room, 0, {}, 0.0)
 
     def ordered(self):
-        """Plan once; what was ordered: (verb, engine, item)."""
+        """Plan once; the orders given: (verb, engine, item)."""
         before = len(self.p.held.unacked)
         service = registry.services(self.reg)["g"]
         orders.plan(self.p, 0.0, self.reg, "g", service, TERMS)
@@ -89,7 +89,7 @@
         state.append_record(self.p, ledger.state_record(engine, item, entry["order"], "loaded"))
 
     def test_make_before_break(self):
-        self.floor((20, 40), {"a": "y", "b": "y", "c": "x"})
+        self.configure((20, 40), {"a": "y", "b": "y", "c": "x"})
         self.hold("e0", ["a"])
         self.hold("e1", ["b"])
         self.assertThat(self.ordered(), Equals({("load", "e1", "a")}))
@@ -97,14 +97,14 @@
         self.loaded("e1", "a")
         self.assertThat(self.ordered(), Equals({("unload", "e0", "a")}))
 
-    def test_without_room_for_both_the_old_goes_first(self):
-        self.floor((20, 20), {"a": "y", "b": "x"})
+    def test_without_room_for_both_the_old_copy_is_unloaded_first(self):
+        self.configure((20, 20), {"a": "y", "b": "x"})
         self.hold("e0", ["a"])
         self.hold("e1", ["b"])
         self.assertThat(self.ordered(), Equals({("unload", "e0", "a"), ("unload", "e1", "b")}))
 
     def test_a_restored_zone_moves_nothing_back(self):
-        self.floor((40, 40), {"a": "y", "b": "y"})
+        self.configure((40, 40), {"a": "y", "b": "y"})
         self.decide(
             "layout",
             {
--- a/tests/test_platform_asked.py
+++ b/tests/test_demand_placement.py
@@ -1,4 +1,4 @@
-"""Placement by demand against plain engines: room, the store, and nobody starved."""
+"""Placement by demand against simulated engines: room, weight store limit, and no starvation."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class DemandScenario:
-    """Engines, callers that want things, and a placer between them."""
+    """Simulated engines, requests for their items, and a placer."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         )
 
     def ask(self, item):
-        """One caller's request: served if it is up, else in line."""
+        """A request for an item: served if the item is loaded, else waiting."""
         scene, (model, _, adapter) = self.scene, item.partition("/")
         if self.up(item):
             scene.command("wanted", {"items": {i: 1 for i in {model, item}}})
@@ -107,7 +107,7 @@
                 self.over.append((scene.now_ms, name, usedMb, places))
 
     def run(self, seconds, wants):
-        """`wants(rng)`: an item that somebody asks for in this tick, or None."""
+        """`wants(rng)`: an item that is requested in this tick, or None."""
         for _ in range(int(seconds * 25)):
             item = wants(self.rng)
             if item:
@@ -125,55 +125,55 @@
 
 
 class Asked(TestCase):
-    def checked(self, floor):
-        self.assertThat([b for e in floor.scene.engines.values() for b in e.broken], Equals([]))
-        self.assertThat(floor.over, Equals([]))
-        self.assertThat(floor.most_in_5s(), LessThan(floor.per_s * 5 * 1.1 + 3.001))
+    def checked(self, scenario):
+        self.assertThat([b for e in scenario.scene.engines.values() for b in e.broken], Equals([]))
+        self.assertThat(scenario.over, Equals([]))
+        self.assertThat(scenario.most_in_5s(), LessThan(scenario.per_s * 5 * 1.1 + 3.001))
 
-    def zipf(self, floor):
-        weights = [1 / (n + 1) ** 1.5 for n in range(len(floor.items))]
-        return lambda rng: rng.choices(floor.items, weights)[0]
+    def zipf(self, scenario):
+        weights = [1 / (n + 1) ** 1.5 for n in range(len(scenario.items))]
+        return lambda rng: rng.choices(scenario.items, weights)[0]
 
     def test_many_models_on_few_engines(self):
-        """Few are asked for often, many seldom: all come up, nothing overflows."""
+        """Few items are requested often, many rarely: all are loaded, and the room suffices."""
         for seed in range(4):
-            floor = DemandScenario(seed)
-            self.assertThat(len(floor.items), GreaterThan(14))
-            floor.run(60, self.zipf(floor))
-            floor.run(20, lambda rng: None)
-            self.checked(floor)
-            self.assertThat(list(floor.waiting), Equals([]), str(seed))
-            self.assertThat(floor.came_up, Equals(floor.came_up & set(floor.items)))
-            self.assertThat(len(floor.came_up), GreaterThan(len(floor.items) * 2 // 3))
-            self.assertThat(floor.longest_ms, LessThan(30000.0), str(seed))
+            scenario = DemandScenario(seed)
+            self.assertThat(len(scenario.items), GreaterThan(14))
+            scenario.run(60, self.zipf(scenario))
+            scenario.run(20, lambda rng: None)
+            self.checked(scenario)
+            self.assertThat(list(scenario.waiting), Equals([]), str(seed))
+            self.assertThat(scenario.came_up, Equals(scenario.came_up & set(scenario.items)))
+            self.assertThat(len(scenario.came_up), GreaterThan(len(scenario.items) * 2 // 3))
+            self.assertThat(scenario.longest_ms, LessThan(30000.0), str(seed))
 
     def test_all_at_once(self):
-        """Every model and adapter is wanted at one moment and until it was there."""
+        """Every model and adapter is requested at the same time, until it is loaded."""
         for seed in range(4):
-            floor = DemandScenario(seed, models=20, engines=3)
-            for item in floor.items:
-                floor.ask(item)
-            floor.run(90, lambda rng: None)
-            self.checked(floor)
-            self.assertThat(list(floor.waiting), Equals([]), str(seed))
+            scenario = DemandScenario(seed, models=20, engines=3)
+            for item in scenario.items:
+                scenario.ask(item)
+            scenario.run(90, lambda rng: None)
+            self.checked(scenario)
+            self.assertThat(list(scenario.waiting), Equals([]), str(seed))
 
     def test_a_slow_store(self):
         for per_s in (0.5, 1.0, 2.0):
-            floor = DemandScenario(7, per_s=per_s, loadS=2.0)
-            floor.run(40, self.zipf(floor))
-            self.checked(floor)
-            self.assertThat(len(floor.came_up), GreaterThan(3), str(per_s))
+            scenario = DemandScenario(7, per_s=per_s, loadS=2.0)
+            scenario.run(40, self.zipf(scenario))
+            self.checked(scenario)
+            self.assertThat(len(scenario.came_up), GreaterThan(3), str(per_s))
 
-    def test_demand_that_moves(self):
-        floor = DemandScenario(8, models=24)
+    def test_shifting_demand(self):
+        scenario = DemandScenario(8, models=24)
         for start in (0, 10, 20, 30):
-            part = (floor.items[start:] + floor.items)[:10]
-            floor.run(15, lambda rng, part=part: rng.choice(part))
-        floor.run(20, lambda rng: None)
-        self.checked(floor)
-        self.assertThat(list(floor.waiting), Equals([]))
+            part = (scenario.items[start:] + scenario.items)[:10]
+            scenario.run(15, lambda rng, part=part: rng.choice(part))
+        scenario.run(20, lambda rng: None)
+        self.checked(scenario)
+        self.assertThat(list(scenario.waiting), Equals([]))
 
-    def test_answers_that_are_lost_or_refusals(self):
+    def test_lost_responses_and_refusals(self):
         for seed in range(3):
             rng = random.Random(100 + seed)
 
@@ -183,52 +183,55 @@
                 told = rng.choice([409, 412, 503, "lost", "lost", "unsent"])
                 return Called(call.id, told, {}) if isinstance(told, int) else told
 
-            floor = DemandScenario(seed, answers=answers)
-            floor.run(40, self.zipf(floor))
-            floor.scene._answers = lambda call: None
-            floor.run(40, lambda rng: None)
-            self.checked(floor)
-            self.assertThat(list(floor.waiting), Equals([]), str(seed))
+            scenario = DemandScenario(seed, answers=answers)
+            scenario.run(40, self.zipf(scenario))
+            scenario.scene._answers = lambda call: None
+            scenario.run(40, lambda rng: None)
+            self.checked(scenario)
+            self.assertThat(list(scenario.waiting), Equals([]), str(seed))
 
     def test_no_order_to_an_engine_that_is_not_usable(self):
-        """Engines leave, and a zone is evacuated, while loads are under way."""
+        """Engines leave, and a zone is evacuated, while loads are in progress."""
         for seed in range(3):
-            floor, wrong = DemandScenario(seed), []
+            scenario, wrong = DemandScenario(seed), []
             for round_ in range(6):
-                floor.run(3, self.zipf(floor))
-                before = len(floor.scene.calls)
+                scenario.run(3, self.zipf(scenario))
+                before = len(scenario.scene.calls)
                 if round_ % 2:
-                    floor.registry.zones["y"] = floor.registry.stamp
+                    scenario.registry.zones["y"] = scenario.registry.stamp
                 else:
-                    old = floor.registry.engines["e0"]
-                    floor.registry.engines["e0"] = {**old, "state": "leaving"}
-                floor.run(3, self.zipf(floor))
+                    old = scenario.registry.engines["e0"]
+                    scenario.registry.engines["e0"] = {**old, "state": "leaving"}
+                scenario.run(3, self.zipf(scenario))
                 shut = {
                     n
-                    for n, e in floor.registry.engines.items()
-                    if not registry_view.usable(floor.registry, e)
+                    for n, e in scenario.registry.engines.items()
+                    if not registry_view.usable(scenario.registry, e)
                 }
                 wrong += [
                     (ms, c.verb, c.engine)
-                    for ms, c in floor.scene.calls[before:]
+                    for ms, c in scenario.scene.calls[before:]
                     if c.verb != "report" and c.engine in shut
                 ]
-                floor.registry.zones.clear()
-                floor.registry.engines["e0"] = {**floor.registry.engines["e0"], "state": "join"}
+                scenario.registry.zones.clear()
+                scenario.registry.engines["e0"] = {
+                    **scenario.registry.engines["e0"],
+                    "state": "join",
+                }
             self.assertThat(wrong, Equals([]))
-            self.checked(floor)
+            self.checked(scenario)
 
-    def test_loads_that_take_long_do_not_hold_up_others(self):
-        """Engines that are busy or slow load for longer than the store's rate takes: what it
-        bears in a second is used all the same, and no more."""
-        floor = DemandScenario(5, models=40, engines=12, per_s=6.0, loadS=0.6)
-        for engine in floor.scene.engines.values():
+    def test_slow_loads_do_not_delay_others(self):
+        """Loads take longer than the weight store's rate assumes, as engines are busy or slow: the
+        rate is used in full all the same, but not exceeded."""
+        scenario = DemandScenario(5, models=40, engines=12, per_s=6.0, loadS=0.6)
+        for engine in scenario.scene.engines.values():
             engine.loadMs = 2400.0
             engine.items.clear()
             engine.known.clear()
-        models = [item for item in floor.items if "/" not in item]
+        models = [item for item in scenario.items if "/" not in item]
         for model in models[:24]:
-            floor.ask(model)
-        floor.run(9, lambda rng: None)
-        self.checked(floor)
-        self.assertThat(len(floor.came_up & set(models)), GreaterThan(20))
+            scenario.ask(model)
+        scenario.run(9, lambda rng: None)
+        self.checked(scenario)
+        self.assertThat(len(scenario.came_up & set(models)), GreaterThan(20))
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engine_changes.py
@@ -1,5 +1,6 @@
-"""Engines are looked through again only when the floor has changed, and the router
-then knows what it would have known by looking each time."""
+"""Engines are scanned again only when the cluster state has changed.  The router then knows the
+same as if it scanned them each time.
+"""
 
 import dataclasses
 import json
@@ -81,18 +82,18 @@
 
 
 class _Section:
-    """What a floor wants of a section that the log counted."""
+    """The parts of a committed log section that `ClusterState` reads."""
 
     def __init__(self, shard, record):
         self.kind, self.shard, self.records = state_machine.RECORDS, shard, (record,)
 
 
-def new_floor():
-    floor = cluster_state.ClusterState(SHARDS, ("z",))
+def new_cluster():
+    cluster = cluster_state.ClusterState(SHARDS, ("z",))
     owner = {"wishes": {}, "routes": {}, "models": {}}
     of_services = {"plain": {}, "models": {"warmPerS": 5.0, "warmMs": 400.0}}
-    floor.registry = registries.Registry(sections={"p": {**owner, "services": of_services}})
-    return floor
+    cluster.registry = registries.Registry(sections={"p": {**owner, "services": of_services}})
+    return cluster
 
 
 def known(r):
@@ -101,36 +102,36 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(steps, max_size=25))
-def test_the_router_knows_the_same_as_if_it_looked_each_time(taken):
-    floor, crew = new_floor(), Crew("c", ("c",))
-    sparing, looking = router.Router(TERMS), router.Router(TERMS)
-    for number, (kind, told) in enumerate(taken):
+def test_the_router_knows_the_same_as_with_a_full_scan_each_time(steps_taken):
+    cluster, crew = new_cluster(), Crew("c", ("c",))
+    incremental, full_scan = router.Router(TERMS), router.Router(TERMS)
+    for number, (kind, told) in enumerate(steps_taken):
         now_ms = 250.0 * number
         if kind == "news":
             sections = tuple(_Section(shard, record) for shard, record in told)
-            cluster_state.apply_update(floor, None, News(sections))
+            cluster_state.apply_update(cluster, None, News(sections))
         elif kind == "broke":
-            choice.broke(sparing, now_ms, told)
-            choice.broke(looking, now_ms, told)
-        looking.noticed_changes = -1
-        router.wake(sparing, now_ms, floor, 0.0, crew)
-        router.wake(looking, now_ms, floor, 0.0, crew)
-        assert known(sparing) == known(looking)
+            choice.broke(incremental, now_ms, told)
+            choice.broke(full_scan, now_ms, told)
+        full_scan.noticed_changes = -1
+        router.wake(incremental, now_ms, cluster, 0.0, crew)
+        router.wake(full_scan, now_ms, cluster, 0.0, crew)
+        assert known(incremental) == known(full_scan)
 
 
-# What the first of two pieces of news told was lost if the router looked after both only.
+# Guards against losing the first of two updates if the router scans only after both.
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(ledger_records, st.booleans()), max_size=25))
-def test_a_look_after_several_pieces_of_news_misses_none(taken):
-    floor, crew = new_floor(), Crew("c", ("c",))
-    sparing, looking = router.Router(TERMS), router.Router(TERMS)
+def test_a_scan_after_several_updates_misses_none(steps_taken):
+    cluster, crew = new_cluster(), Crew("c", ("c",))
+    incremental, full_scan = router.Router(TERMS), router.Router(TERMS)
     announced = tuple(_Section(*engine_record(name, "join", "models", 0)) for name in NAMES)
-    cluster_state.apply_update(floor, None, News(announced))
-    for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *taken]):
-        cluster_state.apply_update(floor, None, News((_Section(*told),)))
+    cluster_state.apply_update(cluster, None, News(announced))
+    for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *steps_taken]):
+        cluster_state.apply_update(cluster, None, News((_Section(*told),)))
         if looks:
-            looking.noticed_changes = -1
-            router.wake(sparing, 250.0 * number, floor, 0.0, crew)
-            untold = dataclasses.replace(floor, ledger_change=None)
-            router.wake(looking, 250.0 * number, untold, 0.0, crew)
-            assert known(sparing) == known(looking)
+            full_scan.noticed_changes = -1
+            router.wake(incremental, 250.0 * number, cluster, 0.0, crew)
+            untold = dataclasses.replace(cluster, ledger_change=None)
+            router.wake(full_scan, 250.0 * number, untold, 0.0, crew)
+            assert known(incremental) == known(full_scan)
--- a/tests/test_platform_roster.py
+++ b/tests/test_engine_list_polling.py
@@ -1,4 +1,4 @@
-"""Following the platform's list: page by page, whole or not at all, news only."""
+"""Reading the platform's engine list: by pages, complete or not at all, logging only changes."""
 
 import random
 
@@ -28,16 +28,16 @@
 
 
 class List:
-    """A list in pages, its reader, and the registry that its news is logged in."""
+    """A list in pages, its reader, and the registry that changes are logged in."""
 
     def __init__(self):
-        self.roster, self.registry = engine_list_polling.EngineListPoll(), registries.Registry()
+        self.poll, self.registry = engine_list_polling.EngineListPoll(), registries.Registry()
         self.engines, self.now_ms, self.pages = [], 1000.0, 1
 
     def round(self, fails=None):
-        """One reading of the whole list; page `fails` answers 429.  What is logged."""
+        """Read the whole list once; page `fails` answers 429.  Returns what is logged."""
         self.now_ms += 300
-        effects = engine_list_polling.tick(self.roster, self.now_ms, TERMS, "http://p", "0|1")
+        effects = engine_list_polling.tick(self.poll, self.now_ms, TERMS, "http://p", "0|1")
         size, page, changed = -(-len(self.engines) // self.pages) or 1, 0, []
         while effects:
             (call,) = effects
@@ -51,7 +51,7 @@
             if page == fails:
                 told = Called(call.id, 429, {})
             effects, changed = engine_list_polling.on_called(
-                self.roster,
+                self.poll,
                 self.now_ms,
                 call.id.split("|", 2)[2],
                 told,
@@ -68,7 +68,7 @@
         return changed
 
 
-class Roster(TestCase):
+class EngineListPolling(TestCase):
     def setUp(self):
         super().setUp()
         self.list = List()
@@ -84,7 +84,7 @@
             self.assertThat(self.names(), Equals([f"e{n}" for n in range(7)]))
             self.assertThat(self.list.round(), Equals([]))
 
-    def test_a_failing_page_says_nothing(self):
+    def test_a_failed_page_changes_nothing(self):
         self.list.pages = 3
         for fails in (0, 1, 2):
             self.assertThat(self.list.round(fails), Equals([]))
@@ -99,24 +99,24 @@
         )
         self.assertThat(self.names()[0], Equals("e1"))
 
-    def test_an_answer_of_an_earlier_round_says_nothing(self):
-        r, registry = engine_list_polling.EngineListPoll(), registries.Registry()
-        (first,) = engine_list_polling.tick(r, 1000.0, TERMS, "http://p", "0|1")
-        engine_list_polling.tick(r, 1300.0, TERMS, "http://p", "0|1")
+    def test_a_response_of_an_earlier_round_changes_nothing(self):
+        poll, registry = engine_list_polling.EngineListPoll(), registries.Registry()
+        (first,) = engine_list_polling.tick(poll, 1000.0, TERMS, "http://p", "0|1")
+        engine_list_polling.tick(poll, 1300.0, TERMS, "http://p", "0|1")
         told = Called(first.id, 200, {"engines": [entry("e0")], "next": None})
         self.assertThat(
             engine_list_polling.on_called(
-                r, 1310.0, first.id.split("|", 2)[2], told, registry, TERMS, "http://p", "0|1"
+                poll, 1310.0, first.id.split("|", 2)[2], told, registry, TERMS, "http://p", "0|1"
             ),
             Equals(([], [])),
         )
 
-    def test_not_sooner_than_it_may(self):
-        r = engine_list_polling.EngineListPoll()
+    def test_the_interval_between_rounds_is_kept(self):
+        poll = engine_list_polling.EngineListPoll()
         times = [
             ms
             for ms in range(1000, 5000, 10)
-            if engine_list_polling.tick(r, float(ms), TERMS, "http://p", "0|1")
+            if engine_list_polling.tick(poll, float(ms), TERMS, "http://p", "0|1")
         ]
         self.assertThat({b - a for a, b in zip(times, times[1:])}, Equals({200}))
         self.assertThat(
@@ -126,13 +126,13 @@
             Equals([]),
         )
 
-    def test_a_change_of_state_is_news_once(self):
+    def test_a_change_of_state_is_logged_once(self):
         self.list.round()
         self.list.engines[2] = entry("e2", state="leaving")
         self.assertThat([e["name"] for e in self.list.round()], Equals(["e2"]))
         self.assertThat(self.list.round(), Equals([]))
 
-    def test_warm_up_is_news_once_and_again_when_colder(self):
+    def test_warm_up_is_logged_once_and_again_if_extended(self):
         self.list.engines[1] = entry("e1", warmMs=5000)
         self.assertThat(len(self.list.round()), Equals(7))
         self.assertThat(self.list.registry.engines["e1"]["warmMs"], Equals(5000))
@@ -142,8 +142,8 @@
             told.append([(e["name"], e["warmMs"]) for e in self.list.round()])
         self.assertThat(told, Equals([[], [], [], [("e1", 9000)], [], [], [], []]))
 
-    def test_the_registry_holds_what_the_list_says(self):
-        """Random lists, pages and failures: after a whole reading they are the same."""
+    def test_the_registry_matches_the_list(self):
+        """Random lists, pages and failures: after a complete round, both are equal."""
         rng, known = random.Random(9), [f"e{n}" for n in range(20)]
         for _ in range(200):
             self.list.pages = rng.randrange(1, 5)
--- a/tests/test_engines_with.py
+++ b/tests/test_engine_lookup.py
@@ -1,4 +1,4 @@
-"""Engines that may be given a service's work are found as by looking at each in turn."""
+"""`engines_with` finds the same engines as a search that checks each one in turn."""
 
 from configuration import registry as registries
 from hypothesis import given, settings
@@ -28,42 +28,44 @@
 fleets = st.dictionaries(st.sampled_from([f"e{n}" for n in range(12)]), engines)
 
 
-def floor_of(fleet, evacuated):
-    floor = cluster_state.ClusterState(SHARDS, ZONES)
-    floor.registry = registries.Registry(zones={zone: 1 for zone in evacuated})
+def cluster_of(fleet, evacuated):
+    cluster = cluster_state.ClusterState(SHARDS, ZONES)
+    cluster.registry = registries.Registry(zones={zone: 1 for zone in evacuated})
     for name, told in fleet.items():
-        ledger = cluster_state.ledger_of(floor, registry_view.shard_of(told["service"], SHARDS))
-        floor.registry.engines[name] = {"name": name, **told}
+        ledger = cluster_state.ledger_of(cluster, registry_view.shard_of(told["service"], SHARDS))
+        cluster.registry.engines[name] = {"name": name, **told}
         ledger.engines[name] = told["items"]
         if told["suspect"]:
             ledger.suspects[name] = True
-    return floor
+    return cluster
 
 
-def plainly(floor, service, item):
-    """What `engines_with` is to find, one engine after the other."""
-    ledger, found = cluster_state.ledger_of(floor, registry_view.shard_of(service, SHARDS)), []
-    for name in sorted(floor.registry.engines):
-        engine = floor.registry.engines[name]
-        if engine["service"] != service or not registry_view.usable(floor.registry, engine):
+def reference_search(cluster, service, item):
+    """What `engines_with` must find, checking one engine after the other."""
+    ledger, found = cluster_state.ledger_of(cluster, registry_view.shard_of(service, SHARDS)), []
+    for name in sorted(cluster.registry.engines):
+        engine = cluster.registry.engines[name]
+        if engine["service"] != service or not registry_view.usable(cluster.registry, engine):
             continue
         if not item or ledgers.is_loaded(ledger, name, item):
             found.append(engine)
-    sound = [engine for engine in found if engine["name"] not in ledger.suspects]
-    return found if not sound and not item else sound
+    healthy = [engine for engine in found if engine["name"] not in ledger.suspects]
+    return found if not healthy and not item else healthy
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(fleets, st.sets(st.sampled_from(ZONES)), st.sampled_from(SERVICES))
-def test_the_engines_found_are_those_of_the_plain_search(fleet, evacuated, service):
-    floor = floor_of(fleet, evacuated)
+def test_the_engines_found_are_those_of_the_reference_search(fleet, evacuated, service):
+    cluster = cluster_of(fleet, evacuated)
     for item in ("", *ITEMS):
-        assert cluster_state.engines_with(floor, service, item) == plainly(floor, service, item)
+        assert cluster_state.engines_with(cluster, service, item) == reference_search(
+            cluster, service, item
+        )
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(fleets, st.sampled_from(SERVICES))
-def test_a_services_engines_come_in_the_order_of_their_names(fleet, service):
-    found = registry_view.engines_of(floor_of(fleet, ()).registry, service)
+def test_a_services_engines_are_sorted_by_name(fleet, service):
+    found = registry_view.engines_of(cluster_of(fleet, ()).registry, service)
     names = sorted(name for name, engine in fleet.items() if engine["service"] == service)
     assert [engine["name"] for engine in found] == names
--- a/tests/test_order_counts.py
+++ b/tests/test_order_counts.py
@@ -1,6 +1,6 @@
-"""The count of orders that an engine has taken: learned, advanced, doubted."""
+"""The count of orders that an engine has taken: learned, advanced and invalidated."""
 
-import test_platform_again
+import test_order_repeats
 from adapter import engines
 from placement import engine_view
 from placement.engine_view import EngineView, Report
@@ -35,19 +35,19 @@
         self.read(report(4, 90.0))
         self.assertThat(self.state(), Equals((True, 4)))
 
-    def test_an_engine_that_counts_nothing_is_ordered_without_a_count(self):
+    def test_an_engine_that_keeps_no_count_gets_orders_without_one(self):
         self.read(report(None, 90.0))
         self.assertThat(self.state(), Equals((True, None)))
         self.assertFalse(self.outdated(report(None, 0.0)))
 
-    def test_taken_orders_advance_it_once_each(self):
+    def test_each_taken_order_advances_the_count_once(self):
         self.read(report(4, 90.0))
         engine_view.order_taken(self.view, 110.0, 4)
         self.assertThat(self.state(), Equals((True, 5)))
         engine_view.order_taken(self.view, 120.0, 4)
         self.assertThat(self.state(), Equals((True, 5)))
 
-    def test_an_earlier_report_is_outdated_and_a_later_one_is_believed(self):
+    def test_an_earlier_report_is_outdated_and_a_later_one_is_used(self):
         self.read(report(4, 90.0))
         engine_view.order_taken(self.view, 110.0, 4)
         self.assertTrue(self.outdated(report(4, 110.0)))
@@ -57,7 +57,7 @@
         self.read(late)
         self.assertThat(self.state(), Equals((True, 4)))
 
-    def test_doubt_lasts_until_a_later_report_of_an_idle_engine(self):
+    def test_an_invalidated_count_is_learned_from_a_later_report_of_an_idle_engine(self):
         self.read(report(4, 90.0))
         engine_view.invalidate_count(self.view, 120.0)
         self.assertThat(self.state(), Equals((False, None)))
@@ -68,7 +68,7 @@
         self.read(report(5, 130.0))
         self.assertThat(self.state(), Equals((True, 5)))
 
-    def test_a_new_engine_under_the_name_is_unknown(self):
+    def test_the_count_of_a_new_incarnation_is_unknown(self):
         self.read(report(4, 90.0))
         engine_view.invalidate_count(self.view, 120.0)
         engine_view.engine_restarted(self.view)
@@ -76,8 +76,8 @@
         self.assertThat(self.state()[1], Equals(None))
 
 
-class Given(test_platform_again.Orders):
-    """The counts that orders name, by what their answers and the reports said."""
+class ExpectedCounts(test_order_repeats.Orders):
+    """The counts that orders name, after their responses and reports."""
 
     def report(self, items, at, busy=False, orders=3):
         super().report(items, at, busy, orders)
@@ -98,9 +98,9 @@
         self.answer(self.give(), 202)
         self.assertThat(self.named(), Equals(5))
 
-    def test_a_call_that_a_cut_held_up_is_refused_when_it_arrives(self):
-        """The report settles the order while its second call is still on its way; the
-        model is unloaded, another one is loaded in its room, and the call arrives."""
+    def test_a_delayed_call_is_refused_when_it_arrives(self):
+        """A report settles the order while its repeated call is in flight.  The model is unloaded,
+        another one is loaded in its room, and then the call arrives."""
         sizes = {i: (100.0, 0) for i in ("other", self.model, "next")}
         engine = PlainEngine("e0", sizes, 200.0, 8, 100.0, {"other"}, count=3)
         self.answer(self.give(), _ordered(engine, 0.0, "load", self.model, self.named()))
@@ -121,7 +121,7 @@
         )
         self.assertThat(engine.broken, Equals([]))
 
-    def test_a_refusal_ends_orders_until_a_later_report(self):
+    def test_after_a_refusal_no_order_is_given_until_a_later_report(self):
         self.answer(self.give(), 409)
         self.assertFalse(engine_view.count_known(self.p.engines["e0"]))
         self.report(["other"], at=self.now_ms - 1, orders=7)
@@ -132,7 +132,7 @@
         self.assertThat(self.named(), Equals(7))
 
     def test_a_report_from_before_an_order_settles_nothing(self):
-        """One that was asked for later, but shows fewer orders than have been taken."""
+        """It was requested later, but shows fewer orders than have been taken."""
         self.answer(self.give(), 202)
         self.report(["other"], at=self.now_ms, orders=3)
         self.assertThat(self.state(), Equals("taken"))
@@ -153,7 +153,7 @@
         self.assertThat(self.body(expected=0), Equals(self.body()[:-1] + ', "expectedCount": 0}'))
         self.assertThat("expectedCount" in self.body(expected=None), Equals(False))
 
-    def test_a_report_tells_the_count_or_none(self):
+    def test_a_report_has_the_count_or_none(self):
         for told, count in (("7", 7), ("true", None), ('"7"', None), ("null", None), ("7.5", None)):
             found = engines.read_call(
                 "report", {"engine": "i"}, 200, b'{"parcels": [], "callSeq": %s}' % told.encode()
--- a/tests/test_order_notes.py
+++ b/tests/test_order_logging.py
@@ -1,27 +1,27 @@
-"""What a placer logs: enough to work out from its lines why it thought there was room."""
+"""The log lines of a placer show why it concluded that an engine had room."""
 
-import test_platform_again
+import test_order_repeats
 from placement import order_notes, placer
 from simulation.placing import SHARDS, TERMS
-from test_platform_asked import DemandScenario
+from test_demand_placement import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan
 from transport.effects import Note
 from transport.events import Called
 
 
-class Lines(test_platform_again.OrdersHarness):
+class OrderLines(test_order_repeats.OrdersHarness):
     def lines(self):
         return [(note.what, note.facts) for note in order_notes.drain(self.p)]
 
-    def test_an_order_tells_its_count_and_what_is_charged_beside_it(self):
+    def test_an_order_logs_its_count_and_the_other_charges(self):
         self.lines()
         order = self.give()
         ((what, facts),) = self.lines()
         self.assertThat((what, facts["order"], facts["expected"]), Equals(("order", order, None)))
         self.assertThat(facts["charged"][0], GreaterThan(0))
 
-    def test_an_answer_tells_its_code_and_whether_its_connection_was_used_before(self):
+    def test_a_response_logs_its_code_and_whether_its_connection_was_reused(self):
         order = self.give()
         self.lines()
         notes = placer.on_called(
@@ -38,7 +38,7 @@
         self.assertThat((note.facts["code"], note.facts["kept"]), Equals((202, True)))
         self.assertThat(self.lines(), Equals([]))
 
-    def test_a_report_that_settles_tells_its_age_and_counts(self):
+    def test_a_report_that_settles_an_order_logs_its_age_and_state(self):
         self.answer(self.give(), 0)
         self.now_ms += 1000
         self.report(["other", self.model], at=self.now_ms - 10, orders=4)
@@ -46,22 +46,22 @@
         self.assertThat(facts["was"], Equals("load unknown"))
         self.assertThat((facts["state"], facts["ageMs"]), Equals(("loaded", 10)))
 
-    def test_what_no_order_explains_is_told(self):
+    def test_items_that_no_order_explains_are_logged(self):
         self.lines()
         self.report(["other", self.model], at=self.now_ms)
         ((what, facts),) = self.lines()
         self.assertThat((what, facts["items"]), Equals(("found", [self.model])))
 
 
-class Waiting(TestCase):
-    def test_who_waits_and_why_is_told_once_a_second(self):
-        floor = DemandScenario(1, models=20, engines=3)
+class WaitingRequests(TestCase):
+    def test_waiting_requests_and_reasons_are_logged_once_a_second(self):
+        scenario = DemandScenario(1, models=20, engines=3)
         seen = []
-        kept = floor.scene._do
-        floor.scene._do = lambda effects: (seen.extend(effects), kept(effects))
-        for item in floor.items:
-            floor.ask(item)
-        floor.run(5, lambda rng: None)
+        kept = scenario.scene._do
+        scenario.scene._do = lambda effects: (seen.extend(effects), kept(effects))
+        for item in scenario.items:
+            scenario.ask(item)
+        scenario.run(5, lambda rng: None)
         told = [e.facts for e in seen if isinstance(e, Note) and e.what == "waiting"]
         self.assertThat(len(told), Equals(5))
         self.assertThat(told[0]["missing"], GreaterThan(0))
--- a/tests/test_order_proofs.py
+++ b/tests/test_order_proofs.py
@@ -1,15 +1,15 @@
-"""What does not prove that an engine has room, though it looks as if it did.
+"""Responses and reports that look as if an engine had room but don't prove it.
 
-Orders name the count of orders that an engine must have taken, so one is only beyond the
-room if the ledger lacked something that the engine held at that count.
+Orders name the count of orders that an engine must have taken.  So an order exceeds the room only
+if the ledger lacked an item that the engine held at that count.
 """
 
 import random
 
-import test_platform_again
+import test_order_repeats
 from placement import engine_view, registry_view
 from simulation.placing import TERMS, Late, Stale
-from test_platform_asked import DemandScenario
+from test_demand_placement import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 from transport.events import Called
@@ -17,8 +17,8 @@
 SEEDS = range(8)
 
 
-class Counted(test_platform_again.OrdersHarness):
-    """A model that was loaded by an order, at a known count."""
+class CountedOrders(test_order_repeats.OrdersHarness):
+    """A model was loaded by an order, at a known order count."""
 
     def setUp(self):
         super().setUp()
@@ -29,79 +29,79 @@
     def count(self):
         return engine_view.expected_count(self.p.engines["e0"])
 
-    def told(self, items, orders=4, busy=False):
-        """A report asked for just now."""
+    def report_now(self, items, orders=4, busy=False):
+        """Read a report that was requested just now."""
         self.now_ms += 1000
         self.report(items, at=self.now_ms - 10, busy=busy, orders=orders)
 
 
-class Unload(Counted):
-    def test_done_at_once_is_no_proof(self):
-        """An engine that is told for the first time to unload what it holds says that it
-        will; "done" may be an answer to something else."""
+class Unload(CountedOrders):
+    def test_success_at_once_proves_nothing(self):
+        """An engine accepts the first call of an unload order with 202; a 200 may be the response
+        to another call."""
         self.answer(self.give("unload"), 200)
         self.assertThat(self.state(), Equals("unknown"))
         self.assertFalse(engine_view.count_known(self.p.engines["e0"]))
 
-    def test_a_report_settles_it_either_way(self):
+    def test_a_report_settles_the_unload_either_way(self):
         self.answer(self.give("unload"), 200)
-        self.told(["other", self.model])
+        self.report_now(["other", self.model])
         self.assertThat((self.state(), self.count()), Equals(("loaded", 4)))
         self.answer(self.give("unload"), 200)
-        self.told(["other"])
+        self.report_now(["other"])
         self.assertThat((self.state(), self.count()), Equals((None, 4)))
 
-    def test_done_after_it_was_taken_is(self):
+    def test_success_after_it_was_taken_settles_the_unload(self):
         self.carried_out("unload")
         self.assertThat((self.state(), self.count()), Equals((None, 5)))
 
 
-class Reports(Counted):
-    def test_a_busy_one_takes_nothing_away(self):
-        """The load was under way at this very count: what the engine holds has changed."""
+class Reports(CountedOrders):
+    def test_a_busy_engines_report_removes_no_item(self):
+        """A load was in progress at this count, so the content has changed since."""
         for _ in range(3):
-            self.told(["other"], busy=True)
+            self.report_now(["other"], busy=True)
         self.assertThat(self.state(), Equals("loaded"))
 
-    def test_a_doubt_ends_when_the_model_is_seen_again(self):
-        self.told(["other"])
+    def test_a_missing_model_that_reappears_needs_two_more_reports(self):
+        self.report_now(["other"])
         self.assertThat(self.state(), Equals("loaded"))
-        self.told(["other", self.model])
-        self.told(["other"])
+        self.report_now(["other", self.model])
+        self.report_now(["other"])
         self.assertThat(self.state(), Equals("loaded"))
-        self.told(["other"])
+        self.report_now(["other"])
         self.assertThat(self.state(), Equals(None))
 
-    def test_a_lower_count_is_known_at_once(self):
-        """The engine has begun anew: an order that named the old count would be in vain."""
+    def test_a_lower_count_is_learned_at_once(self):
+        """The engine has restarted, and would refuse an order that names the old count."""
         self.answer(self.give("unload"), 0)
-        self.told(["other"], orders=0)
+        self.report_now(["other"], orders=0)
         self.assertThat((self.state(), self.count()), Equals((None, 0)))
 
 
 class Overlapping(TestCase):
-    def test_each_call_for_a_report_has_an_id_of_its_own(self):
-        """One that is answered after the next was made is judged by its own time."""
-        floor = DemandScenario(1)
-        floor.scene._answers = lambda call: Stale(1e9) if call.verb == "report" else None
+    def test_each_poll_has_an_id_of_its_own(self):
+        """A response that arrives after the next poll was sent is dated by its own call."""
+        scenario = DemandScenario(1)
+        scenario.scene._answers = lambda call: Stale(1e9) if call.verb == "report" else None
         for _ in range(100):
-            floor.step()
-        ids = [c.id for _, c in floor.scene.calls if c.verb == "report" and c.engine == "e0"]
+            scenario.step()
+        ids = [c.id for _, c in scenario.scene.calls if c.verb == "report" and c.engine == "e0"]
         self.assertThat(len(ids), GreaterThan(1))
         self.assertThat(len(set(ids)), Equals(len(ids)))
 
 
-class Floors(TestCase):
-    """Whole floors on which such answers come now and then: no load is beyond the room."""
+class Scenarios(TestCase):
+    """Whole scenarios with occasional such responses: no load exceeds the room."""
 
     def broken(self, seed, answers):
-        floor = DemandScenario(seed, models=20, answers=answers)
-        moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
+        scenario = DemandScenario(seed, models=20, answers=answers)
+        moving = [scenario.items[n:] + scenario.items[:n] for n in range(0, len(scenario.items), 3)]
         for items in moving[:6]:
-            floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
-        return [b for e in floor.scene.engines.values() for b in e.broken]
+            scenario.run(10, lambda rng, items=items: rng.choice(items[:12]))
+        return [b for e in scenario.scene.engines.values() for b in e.broken]
 
-    def test_answers_that_belong_to_other_calls(self):
+    def test_responses_that_belong_to_other_calls(self):
         def answers_for(rng):
             def answers(call):
                 if call.verb != "unload" or "|again:" in call.id or rng.random() > 0.1:
@@ -113,7 +113,7 @@
         found = [self.broken(seed, answers_for(random.Random(seed))) for seed in SEEDS]
         self.assertThat([b for b in found if b], Equals([]))
 
-    def test_reports_that_come_late(self):
+    def test_late_reports(self):
         def answers_for(rng):
             def answers(call):
                 late = call.verb == "report" and rng.random() < 0.5
@@ -125,8 +125,8 @@
         self.assertThat([b for b in found if b], Equals([]))
 
 
-class AnotherEngine(Counted):
-    """Whatever has an engine's address now answers its report, but not its orders."""
+class AnotherEngine(CountedOrders):
+    """Another engine at the address answers reports in its place, but refuses its orders."""
 
     def usable(self):
         return [
@@ -136,23 +136,23 @@
             )
         ]
 
-    def test_an_engine_that_is_no_longer_there_is_not_counted_on(self):
+    def test_an_engine_that_was_replaced_is_not_usable(self):
         self.assertThat(self.usable(), Equals(["e0"]))
         self.answer(self.give("unload"), 421)
         self.assertThat(self.usable(), Equals([]))
-        self.told([], orders=0)
+        self.report_now([], orders=0)
         self.assertThat(self.usable(), Equals([]))
 
-    def test_it_is_looked_at_again_after_a_while(self):
+    def test_its_reports_are_read_again_after_a_while(self):
         self.answer(self.give("unload"), 421)
         self.now_ms += TERMS.unreachable_ms
-        self.told(["other", self.model])
+        self.report_now(["other", self.model])
         self.assertThat((self.usable(), self.state()), Equals((["e0"], "loaded")))
 
 
-class Hidden(test_platform_again.OrdersHarness):
-    """An earlier order for a model is taken late, while a later one for it is on its way: the
-    report's model is charged as the later order's, which then turns out never to have come."""
+class HiddenOrder(test_order_repeats.OrdersHarness):
+    """An earlier order for a model is taken late, while a later one is in flight.  The reported
+    model is charged to the later order, which then turns out never to have arrived."""
 
     def setUp(self):
         super().setUp()
@@ -164,13 +164,13 @@
         self.report(["other", self.model], at=self.now_ms - 10, orders=4)
         self.answer(order, 0, **answer)
 
-    def test_the_count_is_not_learned_beside_it(self):
+    def test_the_count_is_not_learned_from_that_report(self):
         self.refused(begun=False)
         self.assertThat(
             (self.state(), engine_view.expected_count(self.p.engines["e0"])), Equals((None, 3))
         )
 
-    def test_the_next_report_finds_it(self):
+    def test_the_next_report_records_the_model(self):
         self.refused(begun=False)
         self.now_ms += 1000
         self.report(["other", self.model], at=self.now_ms - 10, orders=4)
@@ -178,8 +178,8 @@
         self.assertThat(found, Equals(("loaded", 4)))
 
 
-class HiddenFloors(TestCase):
-    """Links that hold some orders up while others can't be sent at all."""
+class HiddenScenarios(TestCase):
+    """Some orders are delayed, and others can't be sent at all."""
 
     def broken(self, seed):
         rng = random.Random(seed)
@@ -191,12 +191,12 @@
                 return Late(TERMS.call_timeout_ms, rng.uniform(0.0, 5000.0))
             return "unsent" if rng.random() < 0.2 else None
 
-        floor = DemandScenario(seed, models=20, answers=answers)
-        moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
+        scenario = DemandScenario(seed, models=20, answers=answers)
+        moving = [scenario.items[n:] + scenario.items[:n] for n in range(0, len(scenario.items), 3)]
         for items in moving[:6]:
-            floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
-        return [b for e in floor.scene.engines.values() for b in e.broken]
+            scenario.run(10, lambda rng, items=items: rng.choice(items[:12]))
+        return [b for e in scenario.scene.engines.values() for b in e.broken]
 
-    def test_no_load_is_beyond_the_room(self):
+    def test_no_load_exceeds_the_room(self):
         found = [self.broken(seed) for seed in SEEDS]
         self.assertThat([b for b in found if b], Equals([]))
--- a/tests/test_platform_again.py
+++ b/tests/test_order_repeats.py
@@ -1,4 +1,4 @@
-"""What answers and reports prove of an order: what is charged, until what."""
+"""What responses and reports prove about an order, and until when it is charged."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class OrdersHarness(TestCase):
-    """One engine and a placer that gives it orders by hand."""
+    """One engine and a placer whose orders the tests give."""
 
     def setUp(self):
         super().setUp()
@@ -37,7 +37,7 @@
         self.report(["other"], at=900.0)
 
     def report(self, items, at, busy=False, orders=None):
-        """A report asked for at a time, its lag taken off, and answered now."""
+        """Read a report now that was requested `at` a time, with its lag already subtracted."""
         engine_reports.on_report(
             self.p,
             self.now_ms,
@@ -55,7 +55,7 @@
         )
 
     def give(self, verb="load"):
-        """An order given and sent; its id."""
+        """Give and send an order; its id."""
         orders.give_order(self.p, "e0", self.model, verb, self.size_mb, 0, self.service)
         self.p.held.waiting, waiting = [], self.p.held.waiting
         (call,) = placer.on_durable(
@@ -72,7 +72,7 @@
         )
 
     def carried_out(self, verb):
-        """An order that is taken, and done when it is given again."""
+        """Give an order that is taken, and done when its call is repeated."""
         self.answer(self.give(verb), 202)
         self.now_ms += 1000
         (call,) = self.due()
@@ -83,8 +83,8 @@
         return entry and entry["state"]
 
     def due(self):
-        """The calls that are due; the placer is woken when the next one is, and only
-        if there is one to come."""
+        """The repeated calls that are due; checks that the placer is woken for the next one, and
+        only if there is one."""
         found = engine_calls.repeats_due(
             self.p, self.now_ms, self.registry, self.service, TERMS, ENDS_MS
         )
@@ -98,7 +98,7 @@
 
 
 class Orders(OrdersHarness):
-    def test_taken_then_settled_by_giving_it_again(self):
+    def test_taken_then_settled_by_a_repeated_call(self):
         order = self.give()
         self.assertThat((self.state(), self.due()), Equals(("intended", [])))
         self.answer(order, 202)
@@ -118,7 +118,7 @@
                     self.assertThat(self.state(), Equals("taken"))
         self.assertThat((self.state(), len(asked)), Equals(("loaded", 5)))
 
-    def test_unloads_settle_alike(self):
+    def test_unloads_are_settled_the_same_way(self):
         id_ = self.give()
         self.answer(id_, 200)
         self.assertThat(self.state(), Equals("loaded"))
@@ -130,7 +130,7 @@
         self.answer(call.id.split("|", 2)[2], 200)
         self.assertThat(self.state(), Equals(None))
 
-    def test_refused_frees_the_charge(self):
+    def test_a_refusal_removes_the_charge(self):
         before = ledger.charged(self.p.ledger, "e0")
         for code in (409, 412, 421, 400, 503):
             self.answer(self.give(), code)
@@ -140,13 +140,13 @@
         self.answer(self.give(), 0, begun=False)
         self.assertThat(self.state(), Equals(None))
 
-    def test_refused_unload_is_still_there(self):
+    def test_after_a_refused_unload_the_item_is_still_loaded(self):
         self.answer(self.give(), 200)
         for code in (409, 412, 421):
             self.answer(self.give("unload"), code)
             self.assertThat(self.state(), Equals("loaded"))
 
-    def test_no_answer_stays_charged_until_later_reports(self):
+    def test_without_a_response_the_charge_stays_until_later_reports(self):
         usedMb, _ = ledger.charged(self.p.ledger, "e0")
         self.answer(self.give(), 0)
         self.assertThat(self.state(), Equals("unknown"))
@@ -162,7 +162,7 @@
             (self.state(), ledger.charged(self.p.ledger, "e0")[0]), Equals((None, usedMb))
         )
 
-    def test_no_answer_and_a_report_that_has_it(self):
+    def test_without_a_response_a_report_with_the_item_settles_the_load(self):
         self.answer(self.give(), 0)
         self.now_ms += 100
         self.report(["other", self.model], at=self.now_ms - 10)
@@ -180,8 +180,8 @@
         self.report(["other"], at=self.now_ms - 20)
         self.assertThat(self.state(), Equals("loaded"))
 
-    def test_an_item_that_came_up_is_not_found_twice_by_an_old_report(self):
-        """A report from before an unload was done doesn't bring the item back."""
+    def test_an_old_report_does_not_restore_an_unloaded_item(self):
+        """The report was requested before the unload was done."""
         self.answer(self.give(), 200)
         self.carried_out("unload")
         self.report(["other", self.model], at=self.now_ms - 50)
@@ -202,7 +202,7 @@
             self.report(["other"], at=self.now_ms - 10)
             self.assertThat(self.state(), Equals(None))
 
-    def test_nothing_is_given_again_near_the_grants_end(self):
+    def test_no_call_is_repeated_near_the_end_of_the_lease(self):
         self.answer(self.give(), 202)
         self.now_ms += 5000
         self.assertThat(
@@ -217,7 +217,7 @@
             Equals([]),
         )
 
-    def test_a_new_life_forgets(self):
+    def test_a_new_incarnation_removes_all_entries(self):
         self.answer(self.give(), 200)
         self.now_ms += 100
         engine_reports.on_report(
@@ -232,8 +232,8 @@
 
 
 class Unloading(TestCase):
-    def test_a_models_adapters_go_with_it(self):
-        """The engine drops them, so an adapter on the way out, or gone, is up nowhere."""
+    def test_adapters_are_removed_with_their_model(self):
+        """The engine drops them, so they don't count as loaded while it unloads the model."""
         kept = ledger.Ledger()
         for item in ("m", "m/a1", "n", "n/a1"):
             ledger.apply(kept, ledger.order_record("e", item, "load", f"o{item}", 1, 0, "s"))
--- a/tests/test_orders_late.py
+++ b/tests/test_orders_late.py
@@ -1,19 +1,20 @@
-"""Orders that reach an engine long after their calls have ended: none may load more
-than there is room for, whatever has been settled, unloaded and loaded meanwhile."""
+"""Orders that reach an engine long after their calls have timed out.  None may load more than there
+is room for, whatever has been settled, unloaded and loaded in the meantime.
+"""
 
 import random
 
 from placement import engine_view
 from simulation.placing import TERMS, Late
-from test_platform_asked import DemandScenario
+from test_demand_placement import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
 
 SEEDS = range(12)
 
 
-def held_up(rng, share, first=True, again=True):
-    """Answers of a floor on which a `share` of the orders is held up on its way."""
+def delayed(rng, share, first=True, again=True):
+    """Responses of a scenario in which a `share` of the orders is delayed on the network."""
 
     def answers(call):
         given_again = "|again:" in call.id
@@ -25,36 +26,38 @@
     return answers
 
 
-class HeldUp(TestCase):
+class DelayedOrders(TestCase):
     def played(self, seed, **which):
-        floor = DemandScenario(seed, models=20, answers=held_up(random.Random(seed), 0.15, **which))
-        moving = [floor.items[n:] + floor.items[:n] for n in range(0, len(floor.items), 3)]
+        scenario = DemandScenario(
+            seed, models=20, answers=delayed(random.Random(seed), 0.15, **which)
+        )
+        moving = [scenario.items[n:] + scenario.items[:n] for n in range(0, len(scenario.items), 3)]
         for items in moving[:6]:
-            floor.run(10, lambda rng, items=items: rng.choice(items[:12]))
-        return floor
+            scenario.run(10, lambda rng, items=items: rng.choice(items[:12]))
+        return scenario
 
-    def broken(self, floor):
-        return [b for e in floor.scene.engines.values() for b in e.broken]
+    def broken(self, scenario):
+        return [b for e in scenario.scene.engines.values() for b in e.broken]
 
-    def test_an_order_given_again(self):
+    def test_a_delayed_repeated_call(self):
         found = [self.broken(self.played(seed, first=False)) for seed in SEEDS]
         self.assertThat([b for b in found if b], Equals([]))
 
-    def test_a_first_call(self):
+    def test_a_delayed_first_call(self):
         found = [self.broken(self.played(seed, again=False)) for seed in SEEDS]
         self.assertThat([b for b in found if b], Equals([]))
 
-    def test_orders_without_a_count_are_seen(self):
-        """The same runs are red as soon as orders don't name what they expect."""
+    def test_orders_without_a_count_exceed_the_room(self):
+        """The same runs fail if orders don't name the count that they expect."""
         self.patch(engine_view, "expected_count", lambda view: None)
         found = [self.broken(self.played(seed)) for seed in SEEDS]
         self.assertThat(len([b for b in found if b]), GreaterThan(2))
 
-    def test_both_and_models_still_come_up(self):
+    def test_both_delayed_and_models_are_still_loaded(self):
         for seed in SEEDS:
-            floor = self.played(seed)
-            self.assertThat(self.broken(floor), Equals([]), str(seed))
-            floor.scene._answers = lambda call: None
-            floor.run(30, lambda rng: None)
-            self.assertThat(list(floor.waiting), Equals([]), str(seed))
-            self.assertThat(len(floor.came_up), GreaterThan(10), str(seed))
+            scenario = self.played(seed)
+            self.assertThat(self.broken(scenario), Equals([]), str(seed))
+            scenario.scene._answers = lambda call: None
+            scenario.run(30, lambda rng: None)
+            self.assertThat(list(scenario.waiting), Equals([]), str(seed))
+            self.assertThat(len(scenario.came_up), GreaterThan(10), str(seed))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement against a slow plain model, over many made-up floors."""
+"""Placement against a slow reference implementation, over many random cases."""
 
 import random
 
@@ -7,9 +7,9 @@
 from testtools.matchers import Equals, LessThan
 
 
-def plain(engines, wishes, shares, present):
-    """The same rules, written for the reader: one copy at a time, every engine
-    weighed from scratch each time."""
+def reference(engines, wishes, shares, present):
+    """The same rules in the simplest form: one copy at a time, and every engine is ranked from
+    scratch each time."""
     held = {e.name: {} for e in engines}
     size = {w.model: w.roomMb for w in wishes}
     total = sum(e.roomMb for e in engines)
@@ -61,7 +61,7 @@
     return turn, put, placed, by_id
 
 
-def floor(rng):
+def random_case(rng):
     zones = ["x", "y", "z"]
     engines = [
         Engine(f"e{i}", rng.choice(zones), rng.choice([40, 60, 100]), rng.randrange(5))
@@ -73,16 +73,16 @@
         model = rng.choice(sorted(models))
         adapter = rng.choice(["", "", "a0", "a1"])
         partner = rng.choice(["p", "q"])
-        late = rng.random() < 0.15
+        deferred = rng.random() < 0.15
         wishes.append(
             Wish(
-                f"{'hold' if late else partner}:{number}",
+                f"{'hold' if deferred else partner}:{number}",
                 partner,
                 model,
                 adapter,
-                1 if late else rng.randrange(4),
+                1 if deferred else rng.randrange(4),
                 tuple(rng.sample(zones, rng.choice([0, 0, 1, 2]))),
-                BEST_EFFORT + number if late else rng.choice([10, 20, 30]),
+                BEST_EFFORT + number if deferred else rng.choice([10, 20, 30]),
                 models[model],
                 1 if adapter else 0,
             )
@@ -96,31 +96,31 @@
 
 
 class Placement(TestCase):
-    def test_plain_model(self):
-        """Each choice of the real one is among the best of the plain one."""
+    def test_reference_model(self):
+        """Each choice is among the best of the reference implementation."""
         for seed in range(400):
-            engines, wishes, shares, present = floor(random.Random(seed))
-            made = place(engines, wishes, shares, present)
-            turn, put, placed, by_id = plain(engines, wishes, shares, present)
+            engines, wishes, shares, present = random_case(random.Random(seed))
+            plan = place(engines, wishes, shares, present)
+            turn, put, placed, by_id = reference(engines, wishes, shares, present)
             turns = sorted(
                 (w.yields, copy, w.partner, w.id) for w in wishes for copy in range(w.copies)
             )
-            late = []
-            for own, ids in ((True, [t[3] for t in turns]), (False, late)):
+            deferred = []
+            for own, ids in ((True, [t[3] for t in turns]), (False, deferred)):
                 for id_ in list(ids):
                     w = by_id[id_]
                     best = None if own and w.yields >= BEST_EFFORT else turn(w, own)
                     if best is None:
                         if own:
-                            late.append(id_)
+                            deferred.append(id_)
                         continue
                     item = item_name(w.model, w.adapter)
-                    taken = [(e, c) for e, c in best if item in made.targets[e.name]]
+                    taken = [(e, c) for e, c in best if item in plan.targets[e.name]]
                     self.assertTrue(taken, f"seed {seed}: {id_} not at a best engine")
-                    put(w, *self.same_choice(made, w, taken, best))
+                    put(w, *self.same_choice(plan, w, taken, best))
             for w in wishes:
                 short = w.copies - len(placed[w.id])
-                told = made.unmet.get(w.id)
+                told = plan.unmet.get(w.id)
                 if w.yields < BEST_EFFORT:
                     self.assertThat(
                         told["wanted"] - told["placed"] if told else 0,
@@ -128,20 +128,20 @@
                         f"seed {seed}: {w.id}",
                     )
 
-    def same_choice(self, made, w, taken, best):
-        """Among equals the real one hashes; follow it."""
+    def same_choice(self, plan, w, taken, best):
+        """Among equals, `place` chooses by a hash; do the same."""
         import hashlib
 
         item = item_name(w.model, w.adapter)
         return min(best, key=lambda b: hashlib.blake2b(f"{item}|{b[0].name}".encode()).digest())
 
-    def test_room_and_places_hold(self):
+    def test_room_and_places_are_not_exceeded(self):
         for seed in range(400, 600):
-            engines, wishes, shares, present = floor(random.Random(seed))
-            made = place(engines, wishes, shares, present)
+            engines, wishes, shares, present = random_case(random.Random(seed))
+            plan = place(engines, wishes, shares, present)
             size = {w.model: w.roomMb for w in wishes}
             for e in engines:
-                targets = made.targets[e.name]
+                targets = plan.targets[e.name]
                 self.assertThat(
                     sum(size[i] for i in targets if "/" not in i), LessThan(e.roomMb + 1)
                 )
@@ -149,19 +149,19 @@
                 for item in targets:
                     self.assertIn(item.partition("/")[0], targets)
 
-    def test_settles(self):
-        """Fed its own result, it settles: no moves back and forth."""
+    def test_repeated_planning_settles(self):
+        """With its own result as input, it settles: nothing moves back and forth."""
         for seed in range(600, 800):
-            engines, wishes, shares, _ = floor(random.Random(seed))
+            engines, wishes, shares, _ = random_case(random.Random(seed))
             wishes = [w for w in wishes if w.yields < BEST_EFFORT]
             present, rounds = {}, []
             for _ in range(5):
-                made = place(engines, wishes, shares, present)
-                present = {e: set(t) for e, t in made.targets.items()}
+                plan = place(engines, wishes, shares, present)
+                present = {e: set(t) for e, t in plan.targets.items()}
                 rounds.append(present)
             self.assertThat(rounds[-1], Equals(rounds[-2]), f"seed {seed}")
 
-    def test_lent_room_is_given_back(self):
+    def test_lent_room_is_returned(self):
         engines = [Engine("e", "x", 60, 0)]
         greedy = [Wish(f"p:{i}", "p", f"m{i}", "", 1, (), 10, 20, 0) for i in range(3)]
         alone = place(engines, greedy, {"p": 0.34, "q": 0.66}, {})
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -1,13 +1,13 @@
-"""Rare models beside popular ones that would fill every engine: none is left out for good.
+"""Rare models beside popular ones that would fill every engine: each is loaded in the end.
 
-Each rare model has one caller now and then, who waits for a little while and leaves; the
-next one comes some seconds later.
+Each rare model gets a request now and then that waits for a short time and ends; the next one
+comes some seconds later.
 """
 
 import random
 
 from placement import ledger
-from test_platform_asked import DemandScenario
+from test_demand_placement import DemandScenario
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
@@ -18,17 +18,17 @@
 
 
 class Callers:
-    """Callers of rare models: `served` and `asked` count them by model."""
+    """Requests for rare models; `served` and `asked` count them by model."""
 
-    def __init__(self, floor, rng, models, pause_s):
-        self._floor, self._rng, self._pause_s = floor, rng, pause_s
-        self._next_ms = {m: floor.scene.now_ms + 1000 * rng.uniform(0, pause_s) for m in models}
+    def __init__(self, scenario, rng, models, pause_s):
+        self._scenario, self._rng, self._pause_s = scenario, rng, pause_s
+        self._next_ms = {m: scenario.scene.now_ms + 1000 * rng.uniform(0, pause_s) for m in models}
         self._waiting, self._count = {}, 0
         self.asked = dict.fromkeys(models, 0)
         self.served = dict.fromkeys(models, 0)
 
     def step(self):
-        now_ms = self._floor.scene.now_ms
+        now_ms = self._scenario.scene.now_ms
         for model, next_ms in self._next_ms.items():
             if model in self._waiting:
                 self._wait_on(model, now_ms)
@@ -37,16 +37,16 @@
 
     def _come(self, model, now_ms):
         self.asked[model] += 1
-        if self._floor.up(model):
-            self._floor.scene.command("wanted", {"items": {model: 1}})
+        if self._scenario.up(model):
+            self._scenario.scene.command("wanted", {"items": {model: 1}})
             return self._leave(model, now_ms, served=True)
         self._count += 1
         self._waiting[model] = (f"r{self._count}", now_ms)
-        self._floor.scene.command(
+        self._scenario.scene.command(
             "hold",
             {
                 "id": f"r{self._count}",
-                "service": self._floor.name,
+                "service": self._scenario.name,
                 "model": model,
                 "adapter": "",
                 "class": "rank1",
@@ -58,10 +58,10 @@
 
     def _wait_on(self, model, now_ms):
         id_, since_ms = self._waiting[model]
-        up = self._floor.up(model)
+        up = self._scenario.up(model)
         if up or now_ms - since_ms > _PATIENCE_MS:
             del self._waiting[model]
-            self._floor.scene.command("unhold", {"id": id_, "why": "served" if up else "left"})
+            self._scenario.scene.command("unhold", {"id": id_, "why": "served" if up else "left"})
             self._leave(model, now_ms, served=up)
 
     def _leave(self, model, now_ms, served):
@@ -70,8 +70,8 @@
 
 
 def play(seed, seconds=40, engines=12, rare=36, pause_s=4.0, loadS=0.6):
-    """Popular models asked for 25 times a second each, and callers of rare ones."""
-    floor = DemandScenario(
+    """Popular models with 25 requests per second each, and requests for rare ones."""
+    scenario = DemandScenario(
         seed,
         models=_POPULAR + rare,
         engines=engines,
@@ -80,42 +80,46 @@
         roomMb=_ROOM_FOR_ONE_MB,
         slots=12,
     )
-    models = [item for item in floor.items if "/" not in item]
+    models = [item for item in scenario.items if "/" not in item]
     popular, others = models[:_POPULAR], models[_POPULAR:]
-    callers = Callers(floor, random.Random(seed + 100), others, pause_s)
+    callers = Callers(scenario, random.Random(seed + 100), others, pause_s)
     for _ in range(seconds * _TICKS_PER_S):
-        floor.scene.command("wanted", {"items": dict.fromkeys(popular, 1)})
+        scenario.scene.command("wanted", {"items": dict.fromkeys(popular, 1)})
         callers.step()
-        floor.step()
-    return floor, callers, popular
+        scenario.step()
+    return scenario, callers, popular
 
 
 class RareModels(TestCase):
-    def test_each_comes_up_though_popular_ones_want_all_places(self):
+    def test_each_is_loaded_though_popular_ones_could_fill_all_engines(self):
         for seed in range(3):
-            floor, callers, popular = play(seed)
+            scenario, callers, popular = play(seed)
             never = [m for m, served in callers.served.items() if not served]
             self.assertThat(len(never), LessThan(2), f"seed {seed}: {len(never)} never served")
-            self.assertThat([b for e in floor.scene.engines.values() for b in e.broken], Equals([]))
+            self.assertThat(
+                [b for e in scenario.scene.engines.values() for b in e.broken], Equals([])
+            )
 
-    def test_popular_ones_stay_up(self):
+    def test_popular_ones_stay_loaded(self):
         for seed in range(3):
-            floor, _, popular = play(seed)
+            scenario, _, popular = play(seed)
             up = [
                 m
                 for m in popular
-                if any(ledger.is_loaded(floor.scene.p.ledger, e, m) for e in floor.scene.engines)
+                if any(
+                    ledger.is_loaded(scenario.scene.p.ledger, e, m) for e in scenario.scene.engines
+                )
             ]
             self.assertThat(up, Equals(popular))
 
-    def test_a_third_or_more_of_all_callers_is_served(self):
+    def test_at_least_a_third_of_all_requests_is_served(self):
         for seed in range(3):
             _, callers, _ = play(seed)
             asked, served = sum(callers.asked.values()), sum(callers.served.values())
             self.assertThat(asked / 3, LessThan(served), f"seed {seed}: {served} of {asked}")
 
-    def test_loads_that_take_longer_than_anybody_waits(self):
-        """No load comes in time for the caller who brings it about, so it is for the next."""
+    def test_loads_that_take_longer_than_requests_wait(self):
+        """No load is done in time for the request that caused it, but it serves a later one."""
         for seed in range(2):
             _, callers, _ = play(seed, seconds=60, engines=12, rare=9, loadS=4.0)
             never = [m for m, served in callers.served.items() if not served]
--- a/tests/test_room_changes.py
+++ b/tests/test_size_changes.py
@@ -1,17 +1,17 @@
-"""Room is worked out with the larger size where a configuration has changed one."""
+"""A configuration changes the size of a model: the larger size is charged."""
 
 import copy
 
-import test_platform_again
+import test_order_repeats
 from configuration import registry as registries
 from placement import orders, registry_view
 from simulation import platform_made
 from testtools.matchers import Equals
 
 
-class Resized(test_platform_again.Orders):
+class SizeChanges(test_order_repeats.Orders):
     def configure(self, weightMb):
-        """The next configuration, in which the model weighs so much."""
+        """Apply the next configuration, in which the model has this size."""
         self.whole = copy.deepcopy(self.whole)
         self.whole["edition"] += 1
         self.whole["services"][0]["engine"]["parcels"][0]["weightMb"] = weightMb
@@ -34,7 +34,7 @@
     def charge(self):
         return registry_view.charged(self.registry, self.p.ledger, "e0")[0]
 
-    def test_a_model_that_grows_or_shrinks_while_it_is_up(self):
+    def test_a_model_that_grows_or_shrinks_while_it_is_loaded(self):
         ordered_mb = registry_view.item_size(self.registry, self.model)[0]
         before_mb = self.charge()
         orders.give_order(self.p, "e0", self.model, "load", ordered_mb, 0, self.service)
--- a/tests/test_places_given_back.py
+++ b/tests/test_slots_released.py
@@ -1,5 +1,6 @@
-"""Places at engines are given back however attempts end: beside the router a plain model
-counts the attempts that are out, and once all is calm every model that is up is served."""
+"""Engine slots are released however attempts end.  A reference model counts the attempts in flight
+beside the router, and once all have ended, every loaded model is served.
+"""
 
 import random
 
@@ -29,7 +30,7 @@
 
 
 class Walk(Scene):
-    """Callers, engines and news in any order; `out`: token -> the engine of its attempt."""
+    """Requests, engines and changes in random order; `out`: token -> the engine of its attempt."""
 
     def start(self, seed):
         self.rng, self.out, self.told = random.Random(seed), {}, {}
@@ -38,7 +39,7 @@
         self.holds("e1")
 
     def take(self, effects):
-        """What the router says of tasks; the shell's part is to believe it."""
+        """Track the outcomes of the router's effects."""
         for effect in effects:
             outcome = getattr(effect, "outcome", None)
             if isinstance(outcome, Leg):
@@ -70,7 +71,7 @@
         self.take(router.begin(self.router, self.now_ms, self.floor, 0.0, CREW, task))
 
     def ends(self):
-        """An attempt ends, or is silent, or its caller leaves while it waits."""
+        """An attempt ends or gets no response, or the caller of a waiting request leaves."""
         if not self.told:
             return
         token = self.rng.choice(sorted(self.told))
@@ -95,7 +96,7 @@
         self.take(router.wake(self.router, self.now_ms, self.floor, 0.0, CREW))
 
     def changes(self):
-        """An engine comes cold, goes, is announced anew, or becomes suspect or sound."""
+        """An engine starts cold, is removed, is listed again, or becomes suspect or healthy."""
         name, engines = self.rng.choice(("e0", "e1")), self.floor.registry.engines
         what = self.rng.randrange(5)
         if what == 0:
@@ -117,24 +118,24 @@
         self.assertThat(busy, Equals(plain), text)
 
 
-class GivenBack(Walk):
-    # A counter that counts places as taken for ever answers all-busy for ever.
-    def test_busy_is_the_number_of_attempts_that_are_out(self):
+class SlotsReleased(Walk):
+    # A slot that is never released makes a counter answer all-busy for ever.
+    def test_busy_is_the_number_of_attempts_in_flight(self):
         for seed in SEEDS:
-            self.setUp_again(seed)
+            self.reset(seed)
             steps = [self.comes] * 4 + [self.ends] * 4 + [self.passes] * 2 + [self.changes]
             for step in range(STEPS):
                 self.rng.choice(steps)()
                 self.check(f"seed {seed}, step {step}")
             self.calm(seed)
 
-    def setUp_again(self, seed):
+    def reset(self, seed):
         self.router = router.Router(TERMS)
         self.ledger.suspects.clear()
         self.start(seed)
 
     def calm(self, seed):
-        """All attempts end, engines are back: whoever comes is served at once."""
+        """All attempts end and the engines are back: the next request is served at once."""
         for token in sorted(self.told):
             self.take(self.end(token, "gone"))
         self.check(f"seed {seed}, calm")
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Engines that seem well and answer badly: nobody's subject or model stays tied to one."""
+"""Engines that look healthy but fail requests: no subject or model stays tied to one."""
 
 import random
 import socket
@@ -11,7 +11,7 @@
 from routing.legs import Ended
 from routing.tasks import Leg
 from simulation.placing import SHARDS, TERMS
-from test_platform_asked import DemandScenario
+from test_demand_placement import DemandScenario
 from test_platform_relaying import PLAIN, STREAM, Relayed, data, event, head
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -24,24 +24,24 @@
 SEEDS = range(4)
 
 
-def outcomes_of(floor, told):
-    floor.scene.command("wanted", {"items": {}, "outcomes": told})
+def outcomes_of(scenario, told):
+    scenario.scene.command("wanted", {"items": {}, "outcomes": told})
 
 
 class Marked(TestCase):
-    """When the holder takes an engine for suspect, and for how long."""
+    """When the lease holder marks an engine as suspect, and for how long."""
 
     def setUp(self):
         super().setUp()
-        self.floor = DemandScenario(1, engines=6)
-        self.ledger = self.floor.scene.p.ledger
-        self.floor.step()
+        self.scenario = DemandScenario(1, engines=6)
+        self.ledger = self.scenario.scene.p.ledger
+        self.scenario.step()
 
     def steps(self, for_ms):
         for _ in range(int(for_ms / TICK_MS)):
-            self.floor.step()
+            self.scenario.step()
 
-    def test_most_ends_must_be_bad_and_some(self):
+    def test_enough_attempts_and_a_high_ratio_must_fail(self):
         for good, bad, expected in (
             (0, 2.9, {}),
             (0, 3.1, {"e0": True}),
@@ -49,53 +49,57 @@
             (8, 3.1, {}),
             (100, 5, {}),
         ):
-            self.floor = DemandScenario(1, engines=6)
-            self.floor.step()
-            outcomes_of(self.floor, {"e0": (good, bad, 0)})
-            self.floor.step()
-            self.assertThat(self.floor.scene.p.ledger.suspects, Equals(expected), f"{good} {bad}")
-
-    def test_no_answer_counts_only_of_an_engine_that_gives_none(self):
-        """One that is overloaded answers some; leaving it out would overload the others."""
+            self.scenario = DemandScenario(1, engines=6)
+            self.scenario.step()
+            outcomes_of(self.scenario, {"e0": (good, bad, 0)})
+            self.scenario.step()
+            self.assertThat(
+                self.scenario.scene.p.ledger.suspects, Equals(expected), f"{good} {bad}"
+            )
+
+    def test_missing_responses_count_only_without_any_success(self):
+        """An overloaded engine answers some; leaving it out would overload the others."""
         for good, late, expected in ((0, 4, {"e0": True}), (1, 4, {}), (1, 40, {})):
-            self.floor = DemandScenario(1, engines=6)
-            self.floor.step()
-            outcomes_of(self.floor, {"e0": (good, 0, late)})
-            self.floor.step()
-            self.assertThat(self.floor.scene.p.ledger.suspects, Equals(expected), f"{good} {late}")
+            self.scenario = DemandScenario(1, engines=6)
+            self.scenario.step()
+            outcomes_of(self.scenario, {"e0": (good, 0, late)})
+            self.scenario.step()
+            self.assertThat(
+                self.scenario.scene.p.ledger.suspects, Equals(expected), f"{good} {late}"
+            )
 
-    def test_bad_ends_fade(self):
+    def test_failures_decay(self):
         for _ in range(6):
-            outcomes_of(self.floor, {"e0": (0, 1, 0)})
+            outcomes_of(self.scenario, {"e0": (0, 1, 0)})
             self.steps(2 * TERMS.unreachable_ms)
         self.assertThat(self.ledger.suspects, Equals({}))
 
-    def test_it_is_tried_again_and_then_left_out_for_longer(self):
+    def test_a_suspect_gets_work_again_and_is_then_left_out_for_longer(self):
         times = []
         for _ in range(4):
-            outcomes_of(self.floor, {"e0": (0, 4, 0)})
-            start_ms = self.floor.scene.now_ms
-            self.floor.step()
+            outcomes_of(self.scenario, {"e0": (0, 4, 0)})
+            start_ms = self.scenario.scene.now_ms
+            self.scenario.step()
             self.assertThat("e0" in self.ledger.suspects, Equals(True))
             while "e0" in self.ledger.suspects:
-                self.floor.step()
-            times.append(round((self.floor.scene.now_ms - start_ms) / TERMS.unreachable_ms))
+                self.scenario.step()
+            times.append(round((self.scenario.scene.now_ms - start_ms) / TERMS.unreachable_ms))
         self.assertThat(times, Equals([1, 2, 4, 4]))
 
     def test_no_more_than_a_third_at_a_time(self):
-        outcomes_of(self.floor, {f"e{n}": (0, 9, 0) for n in range(6)})
-        self.floor.step()
+        outcomes_of(self.scenario, {f"e{n}": (0, 9, 0) for n in range(6)})
+        self.scenario.step()
         self.assertThat(len(self.ledger.suspects), Equals(2))
 
-    def test_one_that_is_gone_is_forgotten(self):
-        outcomes_of(self.floor, {"e0": (0, 9, 0)})
-        self.floor.step()
-        del self.floor.registry.engines["e0"]
-        self.floor.step()
+    def test_a_removed_engine_is_no_longer_suspect(self):
+        outcomes_of(self.scenario, {"e0": (0, 9, 0)})
+        self.scenario.step()
+        del self.scenario.registry.engines["e0"]
+        self.scenario.step()
         self.assertThat(self.ledger.suspects, Equals({}))
 
-    def test_a_new_holder_tries_them_again_in_time(self):
-        append_record(self.floor.scene.p, ledgers.suspect_record("e1"))
+    def test_a_new_lease_holder_clears_suspects_in_time(self):
+        append_record(self.scenario.scene.p, ledgers.suspect_record("e1"))
         self.steps(0.8 * TERMS.unreachable_ms)
         self.assertThat(self.ledger.suspects, Equals({"e1": True}))
         self.steps(0.5 * TERMS.unreachable_ms)
@@ -103,31 +107,31 @@
 
 
 class Subjects(TestCase):
-    """Callers of some subjects, of two models that several engines hold; one engine fails
-    all that it gets while it says that it is well."""
+    """Requests of some subjects for a model that several engines hold; one engine fails all its
+    requests while its reports look healthy."""
 
     def served(self, seed, bad_engine="e0"):
-        """{subject: (tries, served)} of twelve seconds."""
-        floor = DemandScenario(seed, engines=4)
-        scene, rng = floor.scene, random.Random(seed)
-        models = [item for item in floor.items if "/" not in item][:1]
+        """{subject: (tries, served)} over twelve seconds."""
+        scenario = DemandScenario(seed, engines=4)
+        scene, rng = scenario.scene, random.Random(seed)
+        models = [item for item in scenario.items if "/" not in item][:1]
         for engine in scene.engines.values():
             engine.items = set(models)
         for _ in range(40):
-            floor.step()
-        shard = registry_view.shard_of(floor.name, SHARDS)
-        routes = ClusterState(SHARDS, registry=floor.registry)
+            scenario.step()
+        shard = registry_view.shard_of(scenario.name, SHARDS)
+        routes = ClusterState(SHARDS, registry=scenario.registry)
         routes.ledgers[shard] = scene.p.ledger
         routers, found = router.Router(ROUTING), {n: [0, 0] for n in range(SUBJECTS)}
         told_ms = scene.now_ms
         for turn in range(int(12_000 / TICK_MS)):
-            floor.step()
+            scenario.step()
             subject = rng.randrange(SUBJECTS)
-            self.ask(routers, routes, scene.now_ms, turn, floor.name, models[0], subject, found)
+            self.ask(routers, routes, scene.now_ms, turn, scenario.name, models[0], subject, found)
             if scene.now_ms - told_ms > TELL_MS:
                 told_ms = scene.now_ms
-                told = engine_outcomes.take_untold(routers, told_ms, floor.registry.engines)
-                outcomes_of(floor, told)
+                told = engine_outcomes.take_untold(routers, told_ms, scenario.registry.engines)
+                outcomes_of(scenario, told)
         return found
 
     def ask(self, routers, routes, now_ms, turn, service, model, subject, found):
@@ -152,11 +156,11 @@
             self.assertThat(self.never(seed), Equals([]), str(seed))
 
     def test_without_suspects_some_are_never_served(self):
-        """The same run is red if nobody is ever taken for suspect."""
+        """The same run fails if no engine ever becomes suspect."""
         self.patch(suspects, "update_suspects", lambda *asked: None)
         self.assertThat(sum(len(self.never(seed)) for seed in SEEDS), GreaterThan(3))
 
-    def test_few_are_lost(self):
+    def test_few_requests_fail(self):
         for seed in SEEDS:
             found = self.served(seed).values()
             lost = sum(tries - served for tries, served in found)
@@ -164,22 +168,22 @@
 
 
 class Placed(TestCase):
-    def test_what_a_suspect_holds_comes_up_elsewhere(self):
+    def test_the_models_of_a_suspect_are_loaded_elsewhere(self):
         for seed in SEEDS:
-            floor = DemandScenario(seed, engines=6)
+            scenario = DemandScenario(seed, engines=6)
             for _ in range(20):
-                floor.step()
-            only = [i for i in floor.scene.engines["e0"].items if "/" not in i][0]
-            outcomes_of(floor, {"e0": (0, 9, 0)})
-            floor.step()
-            routes = ClusterState(SHARDS, registry=floor.registry)
-            routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
-            self.assertThat(engines_with(routes, floor.name, only), Equals([]))
-            floor.scene.command(
+                scenario.step()
+            only = [i for i in scenario.scene.engines["e0"].items if "/" not in i][0]
+            outcomes_of(scenario, {"e0": (0, 9, 0)})
+            scenario.step()
+            routes = ClusterState(SHARDS, registry=scenario.registry)
+            routes.ledgers[registry_view.shard_of(scenario.name, SHARDS)] = scenario.scene.p.ledger
+            self.assertThat(engines_with(routes, scenario.name, only), Equals([]))
+            scenario.scene.command(
                 "hold",
                 {
                     "id": "h",
-                    "service": floor.name,
+                    "service": scenario.name,
                     "model": only,
                     "adapter": "",
                     "class": "rank0",
@@ -189,29 +193,31 @@
                 },
             )
             for _ in range(60):
-                floor.step()
-            names = [e["name"] for e in engines_with(routes, floor.name, only)]
+                scenario.step()
+            names = [e["name"] for e in engines_with(routes, scenario.name, only)]
             self.assertThat(len(names), GreaterThan(0), str(seed))
             self.assertThat("e0" in names, Equals(False))
 
     def test_a_plain_service_is_never_left_without_engines(self):
-        floor = DemandScenario(2)
-        routes = ClusterState(SHARDS, registry=floor.registry)
-        ledger = routes.ledgers[registry_view.shard_of(floor.name, SHARDS)] = floor.scene.p.ledger
-        for name in floor.scene.engines:
+        scenario = DemandScenario(2)
+        routes = ClusterState(SHARDS, registry=scenario.registry)
+        ledger = routes.ledgers[registry_view.shard_of(scenario.name, SHARDS)] = (
+            scenario.scene.p.ledger
+        )
+        for name in scenario.scene.engines:
             ledger.suspects[name] = True
-        self.assertThat(len(engines_with(routes, floor.name, "")), Equals(4))
+        self.assertThat(len(engines_with(routes, scenario.name, "")), Equals(4))
 
 
 class Proofs(Relayed):
-    """What the end of an attempt says of its engine."""
+    """How the end of an attempt is counted for its engine."""
 
     def proofs_of(self, events, facts, **more):
         response = self.relay([events], facts, **more)
         self.body(response)
         return self.proofs
 
-    def test_a_stream_that_ends_with_its_time_is_only_late(self):
+    def test_a_stream_that_ends_at_its_deadline_is_only_late(self):
         broken = [head(), *data(event(1)), ("end", Ended(0, b"", True, "56"))]
         timed_out = [head(), *data(event(1)), ("end", Ended(0, b"", True, "28"))]
         for resumable, in_time, late in (
@@ -223,13 +229,13 @@
             self.assertThat(self.proofs_of(broken, facts, left_ms=[50.0])[0], Equals(late))
             self.assertThat(self.proofs_of(timed_out, facts, left_ms=[5000.0])[0], Equals(late))
 
-    def test_no_answer_in_time(self):
+    def test_no_response_in_time(self):
         for cause, proof in (("28", "timed-out"), ("56", "unknown")):
             events = [("end", Ended(0, b"", True, cause))]
             facts = {**PLAIN, "repeatable": False}
             self.assertThat(self.proofs_of(events, facts), Equals([proof]))
 
-    def test_a_caller_that_left_past_its_aim(self):
+    def test_a_caller_that_left_after_its_target_time(self):
         for aim_ms, proof in ((1e9, "gone"), (0.0, "unanswered")):
             ours, theirs = socket.socketpair()
             self.addCleanup(ours.close)
--- a/tests/test_unnamed_model.py
+++ b/tests/test_unnamed_model.py
@@ -1,5 +1,6 @@
-"""A request on a route that exists is never told that there is no such route: not one
-that names no model, nor one whose model this node's configuration doesn't list."""
+"""A request on an existing route is never answered as if there were no such route, also if it names
+no model or one that this node's configuration doesn't list.
+"""
 
 import random
 
@@ -31,21 +32,21 @@
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = cluster_state.ClusterState(SHARDS, reader=configuration.READER)
-        self.floor.registry.reader = configuration.READER
+        self.cluster = cluster_state.ClusterState(SHARDS, reader=configuration.READER)
+        self.cluster.registry.reader = configuration.READER
         record, _, _ = registries.decide(
-            self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
+            self.cluster.registry, "written", {"expect": 0, "written": whole, "partial": False}
         )
-        registries.apply(self.floor.registry, record)
-        self.floor.registry.engines["e0"] = engine_facts("e0", self.service)
+        registries.apply(self.cluster.registry, record)
+        self.cluster.registry.engines["e0"] = engine_facts("e0", self.service)
         self.router = router.Router(TERMS)
 
     def begin(self, model, adapter="", told=True):
         task = router.Task(
             "t", "i", self.service, model, adapter, "rank1", "", False, True, 5000.0, told=told
         )
-        effects = router.begin(self.router, 100.0, self.floor, 0.0, CREW, task)
-        (effect,) = effects or router.tick(self.router, task.end_ms, self.floor)
+        effects = router.begin(self.router, 100.0, self.cluster, 0.0, CREW, task)
+        (effect,) = effects or router.tick(self.router, task.end_ms, self.cluster)
         return effect.outcome
 
     def status(self, failure):
@@ -62,11 +63,11 @@
             self.assertIsInstance(outcome, failures.Failure)
             self.assertThat(self.status(outcome), Equals(503), f"{model} {outcome}")
 
-    def test_without_an_engine_it_comes_back_later(self):
-        self.floor.registry.engines.clear()
+    def test_without_an_engine_the_request_is_to_be_retried(self):
+        self.cluster.registry.engines.clear()
         self.assertThat(self.status(self.begin("")), Equals(503))
 
-    def test_the_products_own_interface_still_asks_for_a_model(self):
+    def test_the_products_own_interface_still_requires_a_model(self):
         for model in ("", "never-heard-of"):
             outcome = self.begin(model, told=False)
             self.assertIsInstance(outcome, failures.UnknownModel, model)
--- a/tests/test_platform_line.py
+++ b/tests/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests of every class may wait for a model that nobody holds yet."""
+"""Requests of every class may wait for a model that no engine holds yet."""
 
 import random
 
@@ -24,23 +24,23 @@
 CREW = choice.Crew("c0", ("c0",), "z")
 
 
-class Line(TestCase):
+class WaitQueue(TestCase):
     def setUp(self):
         super().setUp()
         self.furnish()
 
     def furnish(self):
-        """A fresh router before one engine that holds nothing."""
+        """A new router and one engine that holds nothing."""
         whole = made.configuration(random.Random(2), 1)
         service = whole["services"][0]
         self.service, self.model = service["name"], service["engine"]["parcels"][0]["name"]
-        self.floor = cluster_state.ClusterState(SHARDS, reader=configuration.READER)
-        self.floor.registry.reader = configuration.READER
+        self.cluster = cluster_state.ClusterState(SHARDS, reader=configuration.READER)
+        self.cluster.registry.reader = configuration.READER
         record, _, _ = registries.decide(
-            self.floor.registry, "written", {"expect": 0, "written": whole, "partial": False}
+            self.cluster.registry, "written", {"expect": 0, "written": whole, "partial": False}
         )
-        registries.apply(self.floor.registry, record)
-        self.floor.registry.engines["e0"] = engine_facts("e0", self.service)
+        registries.apply(self.cluster.registry, record)
+        self.cluster.registry.engines["e0"] = engine_facts("e0", self.service)
         self.router = router.Router(TERMS)
 
     def begin(self, number, rank):
@@ -58,7 +58,7 @@
             rank=rank,
             tries=2,
         )
-        return router.begin(self.router, 100.0, self.floor, 0.0, CREW, task)
+        return router.begin(self.router, 100.0, self.cluster, 0.0, CREW, task)
 
     def test_each_class_may_wait(self):
         for rank in range(10):
@@ -69,8 +69,8 @@
                 Equals(("hold", registry_view.shard_of(self.service, SHARDS), self.model)),
             )
 
-    def test_the_lowest_is_shut_out_first(self):
-        """Of a line that fills, each class gets its part; the first gets all."""
+    def test_the_least_urgent_class_is_refused_first(self):
+        """Each class may fill a part of the wait queue; the most urgent may fill all of it."""
         places = {}
         for rank in (9, 4, 3, 2, 1, 0):
             self.router.tasks.clear()
@@ -85,51 +85,51 @@
         return task
 
     def load(self, item, state="taken"):
-        """An engine is loading something, or has it."""
-        ledger = cluster_state.ledger_of(self.floor, registry_view.shard_of(self.service, SHARDS))
+        """An engine is loading an item, or holds it."""
+        ledger = cluster_state.ledger_of(self.cluster, registry_view.shard_of(self.service, SHARDS))
         ledgers.apply(ledger, ledgers.order_record("e0", item, "load", "o1", 1.0, 0, self.service))
         ledgers.apply(ledger, ledgers.state_record("e0", item, "o1", state))
 
-    def test_what_is_on_its_way_is_waited_for(self):
-        """A caller from afar gives up after a part of its time, later if its model comes."""
+    def test_a_request_waits_longer_for_a_model_that_is_being_loaded(self):
+        """A remote request is rejected after part of its time; later if its model is loading."""
         for item, waits in ((None, False), ("another", False), (self.model, True)):
             self.furnish()
             task = self.waiting_task()
             task.told, task.give_up_ms = True, 2000.0
             if item:
                 self.load(item)
-            given_up = bool(router.tick(self.router, 2100.0, self.floor))
+            given_up = bool(router.tick(self.router, 2100.0, self.cluster))
             self.assertThat(given_up, Equals(not waits), str(item))
-            self.assertThat(bool(router.tick(self.router, 4500.0, self.floor)), Equals(waits))
+            self.assertThat(bool(router.tick(self.router, 4500.0, self.cluster)), Equals(waits))
 
-    def test_what_a_suspect_engine_loads_is_no_hope(self):
+    def test_a_load_on_a_suspect_engine_does_not_count(self):
         task = self.waiting_task()
         task.told, task.give_up_ms = True, 2000.0
         self.load(self.model)
-        cluster_state.ledger_of(self.floor, registry_view.shard_of(self.service, SHARDS)).suspects[
-            "e0"
-        ] = True
-        self.assertThat(bool(router.tick(self.router, 2100.0, self.floor)), Equals(True))
+        cluster_state.ledger_of(
+            self.cluster, registry_view.shard_of(self.service, SHARDS)
+        ).suspects["e0"] = True
+        self.assertThat(bool(router.tick(self.router, 2100.0, self.cluster)), Equals(True))
 
-    def test_nobody_is_held_until_it_leaves(self):
-        """Callers of a stream leave after a silence that their route tells; a line that is
-        longer than that is left in time to say when to come back."""
+    def test_a_request_is_rejected_before_its_caller_leaves(self):
+        """Callers of a stream leave after a silence that their route configures.  A request that
+        would wait longer is rejected in time to say when to retry."""
         for patience_ms, given_up_ms in ((1000.0, 100.0 + 750.0), (1e9, 100.0 + 0.45 * 4900.0)):
             self.furnish()
             task = router.Task(
                 "t", "i", self.service, self.model, "", "rank0", "", False, True, 5e3
             )
             task.told, task.patience_ms = True, patience_ms
-            router.begin(self.router, 100.0, self.floor, 0.0, CREW, task)
+            router.begin(self.router, 100.0, self.cluster, 0.0, CREW, task)
             self.assertThat(round(task.give_up_ms), Equals(round(given_up_ms)))
             self.load(self.model)
             self.assertThat(
-                bool(router.tick(self.router, task.give_up_ms, self.floor)), Equals(False)
+                bool(router.tick(self.router, task.give_up_ms, self.cluster)), Equals(False)
             )
             later_ms = min(100.0 + 0.9 * patience_ms, 100.0 + 0.8 * 4900.0)
-            self.assertThat(bool(router.tick(self.router, later_ms, self.floor)), Equals(True))
+            self.assertThat(bool(router.tick(self.router, later_ms, self.cluster)), Equals(True))
 
-    def test_how_long_callers_bear_silence(self):
+    def test_how_long_callers_tolerate_silence(self):
         for kind, target, gap, patience_ms in (
             ("stream", 315, 300, 2400.0),
             ("stream", 100, 100, 2000.0),
--- a/tests/test_waiting.py
+++ b/tests/test_waiting_requests.py
@@ -1,4 +1,4 @@
-"""The line of tasks whose model is coming up: served, or told at once."""
+"""Requests that wait for a model: they are served, or rejected at once with a reason."""
 
 import dataclasses
 
@@ -13,9 +13,9 @@
 from transport import failures
 
 
-class Waiting(TestCase):
+class WaitingRequests(TestCase):
     def ask(self, deployment, model, seed=5, count=1):
-        """Ask for a model on a settled floor; the tasks as they ended."""
+        """Request a model in a settled simulation; the requests as they ended."""
         made = run._build(seed, deployment, True)
         made.furnish()
         worlds.spin(made.world, 25000)
@@ -27,7 +27,7 @@
         worlds.spin(made.world, 45000)
         self.assertThat(len(made.history.ended), Equals(count))
         holds = [h for x in made.world.hosts["c0"].node.floor.ledgers.values() for h in x.holds]
-        self.assertThat(holds, Equals([]), "nobody is left in line")
+        self.assertThat(holds, Equals([]), "no request is left waiting")
         return made.history.ended
 
     def test_served_once_loaded(self):
@@ -35,21 +35,21 @@
             self.assertIsInstance(task["outcome"], dict)
             self.assertThat(task["endMs"] - task["atMs"], LessThan(4000))
 
-    def test_told_at_once_when_there_is_no_room(self):
+    def test_rejected_at_once_without_room(self):
         tight = dataclasses.replace(deployments.SMALL, roomMb=40)
         for task in self.ask(tight, "m05", count=4):
             self.assertThat(task["outcome"], Equals(failures.NoRoom(9600, "m05", "no-room")))
             self.assertThat(task["endMs"] - task["atMs"], LessThan(2000))
 
-    def test_told_at_once_when_the_store_is_asked_for_nothing(self):
+    def test_rejected_at_once_if_no_loads_are_allowed(self):
         shut = dataclasses.replace(deployments.SMALL, loads=(0, 0))
         (task,) = self.ask(shut, "m05")
         self.assertThat(task["outcome"].cause, Equals("no-loads"))
         self.assertThat(task["endMs"] - task["atMs"], LessThan(2000))
 
-    def test_told_at_once_when_many_loads_come_first(self):
-        """The store bears a load each ten seconds: the first are served, the others
-        told at once when it will be their turn."""
+    def test_rejected_at_once_if_many_loads_come_first(self):
+        """The weight store allows a load every ten seconds: the first requests are served, the
+        others rejected at once with the time of their turn."""
         slow = dataclasses.replace(deployments.BYGGESAG, loads=(1, 6))
         ended = self.ask(slow, [f"m{n}" for n in range(28, 35)], count=7)
         told = [t for t in ended if isinstance(t["outcome"], failures.NoRoom)]
@@ -60,14 +60,14 @@
             self.assertThat(task["endMs"] - task["atMs"], LessThan(2000))
             self.assertTrue(task["outcome"].retryMs > 9000)
 
-    def test_rare_models_wanted_together_all_come_up(self):
-        """Room for one of two: who is told to come back does, and has a turn."""
+    def test_rare_models_requested_together_are_all_loaded(self):
+        """Room for one of two: a rejected request is retried as told, and gets its turn."""
         tight = dataclasses.replace(deployments.SMALL, roomMb=80, models=9)
         for seed in (7, 8):
             made = run._build(seed, tight, True)
             made.furnish()
             worlds.spin(made.world, 25000)
-            served, told_back = set(), set()
+            served, rejected = set(), set()
 
             def ask(model, number):
                 told = {
@@ -88,20 +88,20 @@
                 if isinstance(outcome, dict):
                     served.add(model)
                 elif number < 12:
-                    told_back.add(model)
+                    rejected.add(model)
                     worlds.after(made.world, outcome.retryMs, lambda: ask(model, number + 1))
 
             for model in ("m07", "m08"):
                 ask(model, 0)
             worlds.spin(made.world, 90000)
             self.assertThat(served, Equals({"m07", "m08"}))
-            self.assertThat(len(told_back), Equals(1), "only one had room at first")
+            self.assertThat(len(rejected), Equals(1), "only one had room at first")
 
 
-class Store(TestCase):
-    def test_an_order_on_its_way_to_a_new_incarnation_is_not_forgotten(self):
-        """The engine restarts; an order meant for its old life reaches the new one,
-        just after the report that told of it."""
+class WeightStore(TestCase):
+    def test_an_order_in_flight_to_a_new_incarnation_still_counts(self):
+        """The engine restarts; an order for its old incarnation reaches the new one just after the
+        first report of the latter."""
         reg = registry.Registry(
             engines={"e0": {"name": "e0", "service": "g", "roomMb": 10, "adapterPlaces": 0}}
         )
@@ -117,8 +117,8 @@
         engine_reports.on_report(p, 6.0, "e0", {**told, "incarnation": "new"}, 5.0, reg)
         self.assertThat(ledger.open_loads(p.ledger, "g"), Equals(0))
 
-    def test_a_gone_engines_load_still_counts_for_a_while(self):
-        """Taken off the list while it loads: the store may still be serving it."""
+    def test_a_removed_engines_load_still_counts_for_a_while(self):
+        """Removed from the list while it loads: the weight store may still be serving it."""
         terms = state.PlacerSettings(
             call_timeout_ms=900.0, report_interval_ms=400.0, unreachable_ms=3000.0
         )
