--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -1,4 +1,4 @@
-"""What one pass of placement by demand looks at: engines, copies, askings and claims."""
+"""The input of one pass of placement by demand: engines, copies, request rates and priorities."""
 
 from dataclasses import dataclass, field
 
@@ -6,40 +6,41 @@
 
 from placement import engine_view
 from placement import ledger as ledgers
-from placement.demand import owed, rate
+from placement.demand import request_rate, unserved
 from placement.placement import item_name
 
 __all__ = [
-    "View",
+    "DemandView",
     "adapter_rates",
-    "claim",
+    "priority",
     "copies_of",
     "hosts_of",
     "is_idle",
-    "rates_of",
-    "waiting_of",
+    "request_rates",
+    "waiting_requests",
 ]
 
-# A claim's least, and what each caller adds for a second that it has waited.
-_LEAST = 0.4
-_EACH = 0.4
-# What one who has waited in vain counts beside one who waits.
-_IN_VAIN = 1.0
-# Callers who left unserved: with fewer nothing is brought up for those to come.
-_STILL_OWED = 0.5
-# How much less a caller counts for each class that is more urgent than its own.
-_LESS_URGENT = 0.2
-# Askings a second that make no difference any more.
-_FORGOTTEN = 0.001
+# Priority of an item that is waited for, in requests per second: a base, and what each waiting
+# request adds.
+_BASE_PRIORITY = 0.4
+_PER_REQUEST = 0.4
+# Weight of a request that ended unserved, relative to a waiting one.
+_UNSERVED_WEIGHT = 1.0
+# With less unserved demand, nothing is loaded for requests to come.
+_MIN_UNSERVED = 0.5
+# How much less a request counts for each class that is more urgent than its own.
+_CLASS_DISCOUNT = 0.2
+# Requests per second below which an item is left out.
+_MIN_RATE = 0.001
 
 
 @dataclass
-class View:
-    """`engines`: name -> Engine; `copies`: item -> how many hold or load it; `waiting`: item
-    -> (since when, weight) of each caller in line; `wished`: items that are waited for, or
-    owed to callers who have left; `rates`: item -> askings a second;
-    `adapters`: model -> askings a second for its adapters; `idle`: names of the engines that
-    may be given an order now; `hosts`: model -> names of the engines where it is up."""
+class DemandView:
+    """`engines`: name -> Engine; `copies`: item -> how many engines hold or load it; `waiting`:
+    item -> (since when, weight) of each waiting request; `wanted`: items with waiting requests
+    or unserved demand; `rates`: item -> requests per second; `adapter_rates`: model -> requests
+    per second for its adapters; `idle`: names of engines that can be given an order now;
+    `hosts`: model -> names of engines where it is loaded."""
 
     placer: object
     now_ms: float
@@ -49,55 +50,57 @@
     engines: dict
     copies: dict
     waiting: dict
-    wished: set = field(default_factory=set)
+    wanted: set = field(default_factory=set)
     rates: dict = field(default_factory=dict)
-    adapters: dict = field(default_factory=dict)
+    adapter_rates: dict = field(default_factory=dict)
     idle: set = field(default_factory=set)
     hosts: dict = field(default_factory=dict)
 
 
-def rates_of(demand, now_ms):
-    """item -> askings a second, of what has been asked for lately at all."""
-    rates = {item: rate(demand, now_ms, item) for item in demand.rates}
-    return {item: asked for item, asked in rates.items() if asked > _FORGOTTEN}
+def request_rates(demand, now_ms):
+    """item -> requests per second, of items with recent requests."""
+    rates = {item: request_rate(demand, now_ms, item) for item in demand.rates}
+    return {
+        item: requests_per_s for item, requests_per_s in rates.items() if requests_per_s > _MIN_RATE
+    }
 
 
 def adapter_rates(rates):
-    """model -> askings a second for its adapters."""
+    """model -> requests per second for its adapters."""
     found: dict = {}
-    for item, asked in rates.items():
+    for item, requests_per_s in rates.items():
         model, _, adapter = item.partition("/")
         if adapter:
-            found[model] = found.get(model, 0.0) + asked
+            found[model] = found.get(model, 0.0) + requests_per_s
     return found
 
 
-def waiting_of(placer, now_ms, name):
-    """item -> (since when, weight by class) of each that waits for it in line."""
+def waiting_requests(placer, now_ms, name):
+    """item -> (since when, weight by class) of each request that waits for it."""
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] == name:
-            since_ms = placer.line.since_ms.get(id_, now_ms)
-            caller = since_ms, 1 / (1 + _LESS_URGENT * rank_of(hold["class"]))
+            since_ms = placer.wait_queue.since_ms.get(id_, now_ms)
+            caller = since_ms, 1 / (1 + _CLASS_DISCOUNT * rank_of(hold["class"]))
             for item in {hold["model"], item_name(hold["model"], hold["adapter"])}:
                 found.setdefault(item, []).append(caller)
     return found
 
 
-def wished_of(view):
-    """Items that somebody waits for, or did not long ago without being served: whoever asks
-    next finds them up, also if a load takes longer than anybody waits."""
+def wanted_items(view):
+    """Items with waiting requests or recent unserved demand.  The latter gets an item loaded for
+    later requests even if a load takes longer than any request waits."""
     demand = view.placer.demand
-    owing = {
+    with_unserved = {
         item
-        for item, known in demand.owed.items()
-        if known.service == view.name and owed(demand, view.now_ms, item) > _STILL_OWED
+        for item, known in demand.unserved.items()
+        if known.service == view.name and unserved(demand, view.now_ms, item) > _MIN_UNSERVED
     }
-    return owing | view.waiting.keys()
+    return with_unserved | view.waiting.keys()
 
 
 def copies_of(placer, engines):
-    """item -> how many engines hold it or are loading it."""
+    """item -> how many engines hold or load it."""
     found: dict = {}
     for name in engines:
         for item, entry in placer.ledger.engines.get(name, {}).items():
@@ -106,33 +109,32 @@
     return found
 
 
-def claim(view, item):
-    """How much may be lost, in askings a second, for an item that is waited for: the
-    more so the more wait for it, the longer they have, the more urgent they are and the
-    more have waited in vain before them.  While nobody waits, only what is asked for less
-    often gives way for those to come."""
+def priority(view, item):
+    """How much value, in requests per second, may be evicted to load an item.  It grows with the
+    number of waiting requests, their wait and their urgency, and with the unserved demand.
+    Without waiting requests, an item only displaces items that are requested less often."""
     callers = view.waiting.get(item, ())
     if not callers:
         return view.rates.get(item, 0.0)
     oldest_ms = min(since_ms for since_ms, _ in callers)
     waited_s = (view.now_ms - oldest_ms) / 1000
     waiting = sum(weight for _, weight in callers) * (1 + waited_s)
-    in_vain = _IN_VAIN * owed(view.placer.demand, view.now_ms, item)
-    return _LEAST + _EACH * (waiting + in_vain)
+    unserved_weight = _UNSERVED_WEIGHT * unserved(view.placer.demand, view.now_ms, item)
+    return _BASE_PRIORITY + _PER_REQUEST * (waiting + unserved_weight)
 
 
 def hosts_of(placer, engines):
-    """model -> names of the engines where it is up."""
+    """model -> names of the engines where it is loaded."""
     found: dict = {}
     for name in engines:
         for item in placer.ledger.engines.get(name, {}):
-            if "/" not in item and ledgers.loaded(placer.ledger, name, item):
+            if "/" not in item and ledgers.is_loaded(placer.ledger, name, item):
                 found.setdefault(item, []).append(name)
     return found
 
 
 def is_idle(placer, now_ms, engine):
-    """Whether an order may be given to an engine now."""
+    """Whether an engine can be given an order now."""
     if placer.demand.pauseMs.get(engine, 0.0) > now_ms:
         return False
     view = placer.engines.get(engine)
--- /dev/null
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -0,0 +1,93 @@
+"""Follows the platform's list of engines; one node reads it for all.
+
+The lease holder of shard 0 requests the list page by page and logs only the changes.  An engine
+is removed only if a complete list lacks it; an incomplete list changes nothing for engines that
+it lacks.  The remaining warm-up time of an engine is logged when it starts, and again only if the
+list says that it will take longer than expected.
+"""
+
+from dataclasses import dataclass, field
+
+from transport.effects import EngineCall
+
+__all__ = ["EngineListPoll", "tick", "on_called"]
+
+_MAX_PAGES = 200
+_WARMUP_SLACK_MS = 700
+
+
+@dataclass
+class EngineListPoll:
+    """State of reading the list: the current `round`, the `token` of the next page, whether a page
+    is requested (`open`), the engines `found` so far, and when each will be warm."""
+
+    requested_ms: float = -1e12
+    round: int = 0
+    token: str = ""
+    open: bool = False
+    found: dict = field(default_factory=dict)
+    warm_until_ms: dict = field(default_factory=dict)
+
+
+def tick(poll, now_ms, settings, address, id_):
+    """Request the first page when it is due; `id_` is the prefix of the call's id."""
+    if (
+        not address
+        or now_ms - poll.requested_ms < settings.list_interval_ms
+        or (poll.open and now_ms - poll.requested_ms < 2 * settings.call_timeout_ms)
+    ):
+        return []
+    poll.requested_ms, poll.round, poll.open = now_ms, poll.round + 1, True
+    poll.found, poll.token = {}, ""
+    return [_page_call(poll, settings, address, id_)]
+
+
+def _page_call(poll, settings, address, id_):
+    return EngineCall(
+        f"{id_}|list:{poll.round}",
+        "",
+        address,
+        "list",
+        {"token": poll.token},
+        settings.call_timeout_ms,
+    )
+
+
+def on_called(poll, now_ms, id_, called, registry, settings, address, prefix):
+    """(effects, changed engines): requests the next page, or compares a complete list."""
+    if id_ != f"list:{poll.round}" or not poll.open:
+        return [], []
+    if called.code != 200 or not isinstance(called.body.get("engines"), list):
+        poll.open = False
+        return [], []
+    for engine in called.body["engines"]:
+        poll.found[engine["name"]] = engine
+    token = called.body.get("next")
+    if token and len(poll.found) < _MAX_PAGES * 50:
+        poll.token = token
+        return [_page_call(poll, settings, address, prefix)], []
+    poll.open = False
+    return [], _changed_engines(poll, now_ms, registry)
+
+
+def _changed_engines(poll, now_ms, registry):
+    changed = []
+    for name, engine in poll.found.items():
+        old = registry.engines.get(name)
+        plain = {k: v for k, v in engine.items() if k != "warmMs"}
+        warmMs = int(engine.get("warmMs", 0))
+        warmup_extended = (
+            warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
+        )
+        if old is None or warmup_extended or any(old.get(k) != v for k, v in plain.items()):
+            if warmup_extended:
+                poll.warm_until_ms[name] = now_ms + warmMs
+            left_ms = max(0, int(poll.warm_until_ms.get(name, now_ms) - now_ms))
+            changed.append({**plain, **({"warmMs": left_ms} if left_ms else {})})
+    for name, old in registry.engines.items():
+        if name not in poll.found:
+            poll.warm_until_ms.pop(name, None)
+            changed.append(
+                {**{k: old[k] for k in ("name", "service", "zone", "url")}, "state": "gone"}
+            )
+    return changed
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -1,8 +1,8 @@
-"""A service shard's replicated state: orders, what engines hold, who waits.
+"""Replicated state of a service shard: orders, items on engines, waiting requests.
 
-Every entry under an engine charges its room and adapter places, whatever its
-state, until a report or a refusal proves that it holds nothing.  `apply` is
-what the holder and every follower do with a logged record.
+Every entry of an engine is charged, whatever its state, until a report or a refusal proves that
+the engine doesn't hold the item.  The lease holder and all followers update their ledgers with
+`apply`.  Attributes and record keys are part of the stored format.
 """
 
 import json
@@ -14,10 +14,10 @@
     "dump",
     "load",
     "charged",
-    "loads_out",
-    "coming",
+    "open_loads",
+    "is_loading",
     "is_open_load",
-    "loaded",
+    "is_loaded",
     "order_record",
     "state_record",
     "hold_record",
@@ -30,12 +30,16 @@
     "cleared_record",
 ]
 
-_TOLD = 500
-_OPEN = ("intended", "taken", "unknown")
+_MAX_REJECTED = 500
+_OPEN_STATES = ("intended", "taken", "unknown")
 
 
 @dataclass
 class Ledger:
+    """`engines`: engine -> item -> entry; `holds`: id -> waiting request; `unmet`: service -> wish
+    -> why; `told`: id -> [reason, retry after ms] of requests rejected while waiting; `lingering`:
+    order -> service, of open loads on removed engines; `suspects`: engines that get no work."""
+
     engines: dict = field(default_factory=dict)
     incarnations: dict = field(default_factory=dict)
     holds: dict = field(default_factory=dict)
@@ -47,12 +51,12 @@
     suspects: dict = field(default_factory=dict)
 
 
-def _pack(told):
-    return json.dumps(told, separators=(",", ":"), sort_keys=True).encode()
+def _encode(data):
+    return json.dumps(data, separators=(",", ":"), sort_keys=True).encode()
 
 
 def order_record(engine, item, verb, order, mb, places, service):
-    return _pack(
+    return _encode(
         {
             "k": "order",
             "engine": engine,
@@ -67,13 +71,12 @@
 
 
 def state_record(engine, item, order, state):
-    return _pack({"k": "state", "engine": engine, "item": item, "order": order, "state": state})
+    return _encode({"k": "state", "engine": engine, "item": item, "order": order, "state": state})
 
 
 def found_record(engine, incarnation, items, service, keep=()):
-    """A new incarnation of an engine, or things on it that no order explains; of
-    what was ordered before, a new incarnation may still come to hold `keep`."""
-    return _pack(
+    """A new incarnation, which orders for `keep` may still reach, or unexplained items."""
+    return _encode(
         {
             "k": "found",
             "engine": engine,
@@ -86,71 +89,72 @@
 
 
 def hold_record(hold):
-    return _pack({"k": "hold", "hold": hold})
+    return _encode({"k": "hold", "hold": hold})
 
 
 def unhold_record(id_, why, retryMs=0):
-    return _pack({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
+    """A request no longer waits; with `retryMs`, it was rejected for the reason `why`."""
+    return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
 
 
 def unmet_record(service, unmet):
-    return _pack({"k": "unmet", "service": service, "unmet": unmet})
+    return _encode({"k": "unmet", "service": service, "unmet": unmet})
 
 
 def apply(ledger, record):
-    """What can't be read, or is of a later version's kind, changes nothing.  Returns the
-    engine that the record is about, or None if it is about none."""
+    """Apply a logged record; returns the engine that it concerns, or None.  Malformed records
+    and kinds that a later version writes change nothing."""
     try:
-        told = json.loads(record)
-        kind = told["k"]
+        data = json.loads(record)
+        kind = data["k"]
     except (ValueError, KeyError, TypeError):
         return None
     if kind == "order":
         ledger.orderCount += 1
-        ledger.engines.setdefault(told["engine"], {})[told["item"]] = {
-            "verb": told["verb"],
-            "order": told["order"],
+        ledger.engines.setdefault(data["engine"], {})[data["item"]] = {
+            "verb": data["verb"],
+            "order": data["order"],
             "state": "intended",
-            "mb": told["mb"],
-            "places": told["places"],
-            "service": told["service"],
+            "mb": data["mb"],
+            "places": data["places"],
+            "service": data["service"],
         }
     elif kind == "state":
-        _state(ledger, told)
+        _apply_state(ledger, data)
     elif kind == "found":
-        _found(ledger, told)
+        _apply_found(ledger, data)
     elif kind == "hold":
         ledger.holdCount += 1
-        ledger.holds[told["hold"]["id"]] = {**told["hold"], "turn": ledger.holdCount}
+        ledger.holds[data["hold"]["id"]] = {**data["hold"], "turn": ledger.holdCount}
     elif kind == "unhold":
-        if ledger.holds.pop(told["id"], None) and told.get("retryMs"):
-            ledger.told[told["id"]] = [told["why"], told["retryMs"]]
-            while len(ledger.told) > _TOLD:
+        if ledger.holds.pop(data["id"], None) and data.get("retryMs"):
+            ledger.told[data["id"]] = [data["why"], data["retryMs"]]
+            while len(ledger.told) > _MAX_REJECTED:
                 del ledger.told[next(iter(ledger.told))]
     elif kind == "unmet":
-        ledger.unmet[told["service"]] = told["unmet"]
+        ledger.unmet[data["service"]] = data["unmet"]
     elif kind == "dropped":
-        for entry in ledger.engines.pop(told["engine"], {}).values():
+        for entry in ledger.engines.pop(data["engine"], {}).values():
             if is_open_load(entry):
                 ledger.lingering[entry["order"]] = entry["service"]
-        ledger.incarnations.pop(told["engine"], None)
+        ledger.incarnations.pop(data["engine"], None)
     elif kind == "lingered":
-        ledger.lingering.pop(told["order"], None)
+        ledger.lingering.pop(data["order"], None)
     elif kind == "suspect":
-        ledger.suspects[told["engine"]] = True
+        ledger.suspects[data["engine"]] = True
     elif kind == "cleared":
-        ledger.suspects.pop(told["engine"], None)
-    return told.get("engine")
+        ledger.suspects.pop(data["engine"], None)
+    return data.get("engine")
 
 
-def _state(ledger, told):
-    items = ledger.engines.get(told["engine"], {})
-    entry = items.get(told["item"])
-    if entry is None or entry["order"] != told["order"]:
+def _apply_state(ledger, data):
+    items = ledger.engines.get(data["engine"], {})
+    entry = items.get(data["item"])
+    if entry is None or entry["order"] != data["order"]:
         return
-    state = told["state"]
+    state = data["state"]
     if state in ("unloaded", "forgotten") or (state == "refused" and entry["verb"] == "load"):
-        for item in [i for i in items if i == told["item"] or i.startswith(told["item"] + "/")]:
+        for item in [i for i in items if i == data["item"] or i.startswith(data["item"] + "/")]:
             del items[item]
     elif state in ("refused", "loaded"):
         entry["verb"], entry["state"] = "load", "loaded"
@@ -158,33 +162,32 @@
         entry["state"] = state
 
 
-def _found(ledger, told):
-    if ledger.incarnations.get(told["engine"]) != told["incarnation"]:
-        old = ledger.engines.get(told["engine"], {})
-        ledger.engines[told["engine"]] = {i: old[i] for i in told.get("keep", ()) if i in old}
-        ledger.incarnations[told["engine"]] = told["incarnation"]
-    items = ledger.engines.setdefault(told["engine"], {})
-    for item, facts in told["items"].items():
+def _apply_found(ledger, data):
+    if ledger.incarnations.get(data["engine"]) != data["incarnation"]:
+        old = ledger.engines.get(data["engine"], {})
+        ledger.engines[data["engine"]] = {i: old[i] for i in data.get("keep", ()) if i in old}
+        ledger.incarnations[data["engine"]] = data["incarnation"]
+    items = ledger.engines.setdefault(data["engine"], {})
+    for item, facts in data["items"].items():
         items[item] = {
             "verb": "load",
             "order": "",
             "state": facts["state"],
             "mb": facts["mb"],
             "places": facts["places"],
-            "service": told["service"],
+            "service": data["service"],
             "sized": facts.get("sized", True),
         }
 
 
 def charged(ledger, engine):
-    """(room, adapter places) that entries on this engine may be using."""
+    """(room, adapter places) of an engine's entries, by their sizes when ordered."""
     items = ledger.engines.get(engine, {}).values()
     return sum(i["mb"] for i in items), sum(i["places"] for i in items)
 
 
-def loads_out(ledger, service, adapters=True):
-    """Loads that may still be asking the weight store for something; adapters too,
-    unless they come from elsewhere."""
+def open_loads(ledger, service, adapters=True):
+    """How many loads, with or without adapters, may still be reading from the weight store."""
     return sum(
         1
         for items in ledger.engines.values()
@@ -194,10 +197,11 @@
 
 
 def is_open_load(entry):
-    return entry["verb"] == "load" and entry["state"] in _OPEN
+    """Whether an entry is a load that may still be in progress."""
+    return entry["verb"] == "load" and entry["state"] in _OPEN_STATES
 
 
-def coming(ledger, items):
+def is_loading(ledger, items):
     """Whether one of `items` is being loaded by an engine that isn't suspect."""
     return any(
         entry is not None and is_open_load(entry)
@@ -207,14 +211,14 @@
     )
 
 
-def loaded(ledger, engine, item):
-    """Whether an item is up; an adapter is only while its model is, if that is known."""
+def is_loaded(ledger, engine, item):
+    """Whether an item is loaded; an adapter also needs its model to be, if that has an entry."""
     items = ledger.engines.get(engine, {})
     model = items.get(item.partition("/")[0])
-    return _up(items.get(item)) and (model is None or _up(model))
+    return _is_up(items.get(item)) and (model is None or _is_up(model))
 
 
-def _up(entry):
+def _is_up(entry):
     return bool(entry) and entry["verb"] == "load" and entry["state"] == "loaded"
 
 
@@ -223,24 +227,24 @@
 
 
 def load(body):
+    """The ledger of a checkpoint, an empty one if there is none."""
     return Ledger(**json.loads(body)) if body else Ledger()
 
 
 def dropped_record(engine):
-    """An engine the platform says is gone holds nothing any more; what it was
-    loading lingers, since the store may go on serving it."""
-    return _pack({"k": "dropped", "engine": engine})
+    """An engine was removed; its open loads still count, as the store may go on serving them."""
+    return _encode({"k": "dropped", "engine": engine})
 
 
 def suspect_record(engine):
-    """An engine answers callers badly: it gets no work for a while."""
-    return _pack({"k": "suspect", "engine": engine})
+    """Too many attempts at an engine failed: it gets no work for a while."""
+    return _encode({"k": "suspect", "engine": engine})
 
 
 def cleared_record(engine):
-    """A suspect engine is tried again."""
-    return _pack({"k": "cleared", "engine": engine})
+    """A suspect engine gets work again."""
+    return _encode({"k": "cleared", "engine": engine})
 
 
 def lingered_record(order):
-    return _pack({"k": "lingered", "order": order})
+    return _encode({"k": "lingered", "order": order})
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -1,59 +1,68 @@
-"""From a plan to orders that keep within room, places and the weight store.
+"""Turns a plan into load and unload orders within the limits of engines and weight store.
 
-An order is given only if everything that may still be on the engine, and the
-new item with it, fits.  Loads outstanding never exceed the service's part of
-the weight store, whose rate is kept by tokens that start empty after a
-takeover, so two holders together never spend more than one may.
+An order is given only if the new item fits beside everything that may still be on the engine.
+Open loads never exceed the service's share of the weight store.  A token bucket limits their
+rate; it starts empty after a takeover, so that two successive holders together stay within the
+rate of one.
 """
 
-from placement import again, engine_view, line, order_notes, placement, world
+from placement import engine_calls, engine_view, load_queue, order_notes, placement, registry_view
 from placement import ledger as ledgers
-from placement.state import log
+from placement.state import append_record
 
-__all__ = ["plan", "give", "store_allows"]
+__all__ = ["plan", "give_order", "store_allows"]
 
-# How many times the loads that its rate makes up at full speed may be out at the store.
-_MOST_TIMES = 4
+# Bound on open loads, as a multiple of the configured number, where loads are slow.
+_MAX_LOADS_FACTOR = 4
 
 
-def plan(p, now_ms, registry, name, service, terms):
-    p.plan.refused_ms = {
-        k: ms for k, ms in p.plan.refused_ms.items() if now_ms - ms < 2 * terms.call_ms
+def plan(placer, now_ms, registry, service_name, service, settings):
+    """Compute the plan of a service and give the orders that may be given now."""
+    placer.plan.refused_ms = {
+        k: ms
+        for k, ms in placer.plan.refused_ms.items()
+        if now_ms - ms < 2 * settings.call_timeout_ms
     }
-    engines = world.placement_engines(registry, name, engine_view.reports_of(p))
-    made = _made(p, registry, name, service, engines)
+    engines = registry_view.placement_engines(
+        registry, service_name, engine_view.reports_of(placer)
+    )
+    target_plan = _current_plan(placer, registry, service_name, service, engines)
     if engines:
-        line.give_up(p, now_ms, name, service["loads"], made, terms)
+        load_queue.reject_unservable(
+            placer, now_ms, service_name, service["loads"], target_plan, settings
+        )
     sizes = {e.name: e for e in engines}
     for engine in engines:
-        _unload(p, registry, engine, name, made, sizes)
-    for engine, item in p.plan.queues[name]:
-        if _fits(p, registry, sizes[engine], item) and not _load(
-            p, now_ms, registry, engine, item, name, service
+        _unload_unwanted(placer, registry, engine, service_name, target_plan, sizes)
+    for engine, item in placer.plan.queues[service_name]:
+        if _can_load(placer, registry, sizes[engine], item) and not _load(
+            placer, now_ms, registry, engine, item, service_name, service
         ):
             return
 
 
-def _made(p, registry, name, service, engines):
-    """The plan, made anew only when something that it looks at has changed."""
-    inputs = (registry.stamp, p.held.next, tuple(engines))
-    kept = p.plan.plans.get(name)
+def _current_plan(placer, registry, service_name, service, engines):
+    """The service's plan, recomputed only when its inputs have changed."""
+    inputs = (registry.stamp, placer.held.next, tuple(engines))
+    kept = placer.plan.plans.get(service_name)
     if kept is not None and kept[0] == inputs:
         return kept[1]
     present = {
         e: {i for i, entry in items.items() if entry["verb"] == "load"}
-        for e, items in p.ledger.engines.items()
+        for e, items in placer.ledger.engines.items()
     }
-    wishes = world.wishes_of(registry, name, p.ledger)
-    made = placement.place(engines, wishes, world.shares_of(service), present)
-    p.plan.queues[name] = line.queue(p, name, made, {w.id: w.yields for w in wishes})
-    _tell_unmet(p, name, made, service)
-    p.plan.plans[name] = (inputs, made)
-    return made
+    wishes = registry_view.wishes_of(registry, service_name, placer.ledger)
+    target_plan = placement.place(engines, wishes, registry_view.shares_of(service), present)
+    placer.plan.queues[service_name] = load_queue.ordered_loads(
+        placer, service_name, target_plan, {w.id: w.yields for w in wishes}
+    )
+    _log_unmet(placer, service_name, target_plan, service)
+    placer.plan.plans[service_name] = (inputs, target_plan)
+    return target_plan
 
 
-def _tell_unmet(p, name, made, service):
-    unmet = made.unmet
+def _log_unmet(placer, service_name, target_plan, service):
+    unmet = target_plan.unmet
     if service["loads"]["atOnce"] == 0 and not unmet:
         unmet = {
             "(all)": {
@@ -65,80 +74,83 @@
                 "shareSpent": False,
             }
         }
-    if p.ledger.unmet.get(name, {}) != unmet:
-        log(p, ledgers.unmet_record(name, unmet))
+    if placer.ledger.unmet.get(service_name, {}) != unmet:
+        append_record(placer, ledgers.unmet_record(service_name, unmet))
 
 
-def give(p, engine, item, verb, mb, places, service):
-    """Log an order; it is sent once the record is durable."""
-    number = p.ledger.orderCount + 1
-    order = f"{p.shard}.{p.epoch}.{number}"
-    order_notes.ordered(p, engine, item, verb, order)
+def give_order(placer, engine, item, verb, mb, places, service):
+    """Log an order; it is sent to the engine once the record is committed."""
+    number = placer.ledger.orderCount + 1
+    order = f"{placer.shard}.{placer.epoch}.{number}"
+    order_notes.log_order(placer, engine, item, verb, order)
     body = {
-        **again.order_body(p, engine, item, order),
-        "shard": p.shard,
+        **engine_calls.order_body(placer, engine, item, order),
+        "shard": placer.shard,
         "number": number,
         "roomMb": mb,
         "places": places,
     }
-    log(
-        p,
+    append_record(
+        placer,
         ledgers.order_record(engine, item, verb, order, mb, places, service),
         ("order", engine, item, order, verb, body),
     )
 
 
-def _may_order(p, engine):
-    """Whether an engine may be given an order now."""
-    entries = p.ledger.engines.get(engine, {})
-    return engine_view.may_order(engine_view.view_of(p, engine), entries)
+def _can_take_order(placer, engine):
+    """Whether an engine can take an order now."""
+    entries = placer.ledger.engines.get(engine, {})
+    return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
-def _moving(p, registry, engine, item, made, sizes):
-    """Whether a copy's new place comes up, or can, while this one still serves."""
+def _is_moving(placer, registry, engine, item, target_plan, sizes):
+    """Whether another engine is loading the item or could, while this copy still serves."""
     return any(
         item in targets
         and other != engine
-        and not ledgers.loaded(p.ledger, other, item)
-        and (item in p.ledger.engines.get(other, {}) or _fits(p, registry, sizes[other], item))
-        for other, targets in made.targets.items()
+        and not ledgers.is_loaded(placer.ledger, other, item)
+        and (
+            item in placer.ledger.engines.get(other, {})
+            or _can_load(placer, registry, sizes[other], item)
+        )
+        for other, targets in target_plan.targets.items()
     )
 
 
-def _unload(p, registry, engine, service, made, sizes):
-    """Unload what no layout names any more, or what stands in a target's way; a
-    copy that moves goes only once it is up elsewhere, if there is room for both."""
-    targets = made.targets[engine.name]
-    items = p.ledger.engines.get(engine.name, {})
+def _unload_unwanted(placer, registry, engine, service, target_plan, sizes):
+    """Unload items that no layout defines any more and items whose room a target needs.  A copy
+    that moves is unloaded only after it is loaded elsewhere, if there is room for both."""
+    targets = target_plan.targets[engine.name]
+    items = placer.ledger.engines.get(engine.name, {})
     missing = [i for i in targets if i not in items]
     for item, entry in sorted(items.items(), reverse=True):
         if entry["verb"] != "load" or entry["state"] != "loaded" or item in targets:
             continue
         if "/" not in item and any(other.startswith(item + "/") for other in items):
             continue
-        if not missing and world.size_of(registry, item) is not None:
+        if not missing and registry_view.item_size(registry, item) is not None:
             continue
-        if not _may_order(p, engine.name):
+        if not _can_take_order(placer, engine.name):
             return
-        if (engine.name, item) in p.plan.refused_ms or _moving(
-            p, registry, engine.name, item, made, sizes
+        if (engine.name, item) in placer.plan.refused_ms or _is_moving(
+            placer, registry, engine.name, item, target_plan, sizes
         ):
             continue
-        give(p, engine.name, item, "unload", entry["mb"], entry["places"], service)
+        give_order(placer, engine.name, item, "unload", entry["mb"], entry["places"], service)
 
 
-def _fits(p, registry, engine, item):
-    """Whether an order for an item may be given now, beside all that may be there."""
-    items = p.ledger.engines.get(engine.name, {})
-    if item in items or (engine.name, item) in p.plan.refused_ms:
+def _can_load(placer, registry, engine, item):
+    """Whether an item may be loaded now beside everything that may be on the engine."""
+    items = placer.ledger.engines.get(engine.name, {})
+    if item in items or (engine.name, item) in placer.plan.refused_ms:
         return False
-    if not _may_order(p, engine.name):
+    if not _can_take_order(placer, engine.name):
         return False
     base = item.partition("/")[0]
-    if "/" in item and not ledgers.loaded(p.ledger, engine.name, base):
+    if "/" in item and not ledgers.is_loaded(placer.ledger, engine.name, base):
         return False
-    size = world.size_of(registry, item)
-    usedMb, used_places = world.charged(registry, p.ledger, engine.name)
+    size = registry_view.item_size(registry, item)
+    usedMb, used_places = registry_view.charged(registry, placer.ledger, engine.name)
     return (
         size is not None
         and usedMb + size[0] <= engine.roomMb
@@ -146,34 +158,35 @@
     )
 
 
-def _load(p, now_ms, registry, engine, item, name, service):
-    """Order it, if the store bears it."""
-    if not store_allows(p, now_ms, name, service["loads"]):
+def _load(placer, now_ms, registry, engine, item, service_name, service):
+    """Give a load order if the weight store's limits allow it; returns whether they do."""
+    if not store_allows(placer, now_ms, service_name, service["loads"]):
         return False
-    size = world.size_of(registry, item)
-    give(p, engine, item, "load", size[0], size[1], name)
+    size = registry_view.item_size(registry, item)
+    give_order(placer, engine, item, "load", size[0], size[1], service_name)
     return True
 
 
-def _at_once(loads, usual):
-    """How many loads may be out at a time.  Where the layout tells only a rate, that is what
-    the store bears; loads that take longer than theirs, at engines that are busy or slow,
-    don't keep others from it, up to a bound.  `usual`: the rate's loads in the time that
-    they have been taking."""
-    told = loads["atOnce"]
+def _max_open_loads(loads, usual):
+    """How many loads may be open at a time.  Where the layout limits only the rate, slow loads
+    must not use up the limit, so it grows up to a bound with the loads that the rate allows
+    during an average load.  `usual`: that number."""
+    configured = loads["atOnce"]
     if loads.get("adapters", True):
-        return told
-    return max(told, min(_MOST_TIMES * told, usual))
+        return configured
+    return max(configured, min(_MAX_LOADS_FACTOR * configured, usual))
 
 
-def store_allows(p, now_ms, name, loads):
-    """Whether one more load keeps within the service's part of the store; takes it."""
-    burst, per_ms = line.store_rate(loads)
-    out = ledgers.loads_out(p.ledger, name, loads.get("adapters", True))
-    if out >= _at_once(loads, per_ms * p.plan.load_ms.get(name, 0.0)):
+def store_allows(placer, now_ms, service_name, loads):
+    """Whether the service's share of the weight store allows one more load; takes a token."""
+    burst, per_ms = load_queue.store_rate(loads)
+    out = ledgers.open_loads(placer.ledger, service_name, loads.get("adapters", True))
+    if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(service_name, 0.0)):
         return False
-    tokens, at_ms = p.plan.tokens.get(name, (burst if p.epoch == 1 else 0.0, now_ms))
+    tokens, at_ms = placer.plan.tokens.get(
+        service_name, (burst if placer.epoch == 1 else 0.0, now_ms)
+    )
     tokens = min(burst, tokens + (now_ms - at_ms) * per_ms)
     allowed = tokens >= 1
-    p.plan.tokens[name] = (tokens - 1 if allowed else tokens, now_ms)
+    placer.plan.tokens[service_name] = (tokens - 1 if allowed else tokens, now_ms)
     return allowed
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -1,23 +1,26 @@
-"""Which engine should hold what: a pure function of what is known.
-
-Wishes are taken in order of yielding, copy by copy.  First each partner gets
-its own share of the pool's room; what stays spare is then lent, in the same
-order, and given back as soon as the owner wishes for it, since every plan is
-made afresh.  Items already in place are preferred, then engines where nothing
-has to go, so that moves stay few.  Every wish unmet says which rule decided
-and whose wishes won.
+"""Computes which engine should hold which models and adapters.
+
+`place` is a pure function of the engines, the wishes and the items already loaded.  Wishes are
+served by ascending `yields`, one copy at a time.  Each partner first gets its own share of the
+pool's room.  Spare room is then lent in the same order; since every plan is computed from
+scratch, it returns to its owner as soon as the owner has a wish for it.  To keep moves few, an
+engine that already holds the item is preferred, then an engine where nothing has to be evicted.
+For each unmet wish the plan names the rule that prevented it and the wishes that won.
 """
 
 import hashlib
 from dataclasses import dataclass, field
 
-__all__ = ["Engine", "Wish", "Plan", "place", "item_name", "LAST"]
+__all__ = ["Engine", "Wish", "Plan", "place", "item_name", "BEST_EFFORT"]
 
-LAST = 1000
+# Wishes with at least this `yields` are best effort: they get spare room only.
+BEST_EFFORT = 1000
 
 
 @dataclass(frozen=True)
 class Engine:
+    """An engine's zone and capacity: room in MB and adapter places."""
+
     name: str
     zone: str
     roomMb: int
@@ -26,6 +29,8 @@
 
 @dataclass(frozen=True)
 class Wish:
+    """A request for copies of a model or adapter.  `only`: the one engine allowed, or empty."""
+
     id: str
     partner: str
     model: str
@@ -40,7 +45,8 @@
 
 @dataclass
 class Plan:
-    """`targets`: engine -> item -> id of the wish that won it there."""
+    """A computed placement.  `targets`: engine -> item -> id of the wish that it serves there;
+    `unmet`: wish id -> why it is not fully met; `lent`: (engine, item) placed in spare room."""
 
     targets: dict = field(default_factory=dict)
     unmet: dict = field(default_factory=dict)
@@ -48,7 +54,9 @@
 
 
 @dataclass
-class _Work:
+class _PlanInProgress:
+    """Remaining capacity, usage by partner and copies by wish while a plan is computed."""
+
     engines: dict
     shares: dict
     present: dict
@@ -62,12 +70,14 @@
 
 
 def item_name(model, adapter):
+    """The name of a model, or of an adapter as `model/adapter`."""
     return f"{model}/{adapter}" if adapter else model
 
 
 def place(engines, wishes, shares, present):
-    """`shares`: partner -> part of the room; `present`: engine -> items."""
-    work = _Work(
+    """Compute a Plan.  `shares`: partner -> share of the total room; `present`: engine -> items
+    loaded or being loaded there."""
+    work = _PlanInProgress(
         {e.name: e for e in engines},
         shares,
         present,
@@ -79,20 +89,20 @@
     )
     for wish in wishes:
         work.sizes[wish.model] = wish.roomMb
-    turns = sorted(
+    queue = sorted(
         ((w.yields, copy, w.partner, w.id), w) for w in wishes for copy in range(w.copies)
     )
-    late = []
-    for _, wish in turns:
-        if wish.yields >= LAST or not _try(work, wish, True):
-            late.append(wish)
+    deferred = []
+    for _, wish in queue:
+        if wish.yields >= BEST_EFFORT or not _place_copy(work, wish, True):
+            deferred.append(wish)
     missing = {}
-    for wish in late:
-        if not _try(work, wish, False):
+    for wish in deferred:
+        if not _place_copy(work, wish, False):
             missing[wish.id] = wish
     for wish in missing.values():
-        if wish.yields < LAST:
-            work.plan.unmet[wish.id] = _reason(work, wish)
+        if wish.yields < BEST_EFFORT:
+            work.plan.unmet[wish.id] = _unmet_reason(work, wish)
     return work.plan
 
 
@@ -114,11 +124,11 @@
     ]
 
 
-def _try(work, wish, own_share):
-    """Place one more copy of the wish; False if there is no way."""
+def _place_copy(work, wish, own_share):
+    """Place one more copy of the wish; False if no engine can take it."""
     item = item_name(wish.model, wish.adapter)
-    mine = work.copies.setdefault(wish.id, set())
-    found = [n for n in _zone_engines(work, wish) if n not in mine and _fits(work, wish, n)]
+    own_engines = work.copies.setdefault(wish.id, set())
+    found = [n for n in _zone_engines(work, wish) if n not in own_engines and _fits(work, wish, n)]
     if own_share:
         left_mb = (
             work.shares.get(wish.partner, 0.0) * work.totalMb
@@ -129,12 +139,12 @@
     if not found:
         return False
     zones: dict = {}
-    for name in mine:
+    for name in own_engines:
         zones[work.engines[name].zone] = zones.get(work.engines[name].zone, 0) + 1
     best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
-    _take(work, wish, item, best)
-    mine.add(best)
-    if not own_share and wish.yields < LAST:
+    _assign(work, wish, item, best)
+    own_engines.add(best)
+    if not own_share and wish.yields < BEST_EFFORT:
         work.plan.lent.add((best, item))
     return True
 
@@ -154,7 +164,7 @@
     )
 
 
-def _take(work, wish, item, name):
+def _assign(work, wish, item, name):
     targets = work.plan.targets[name]
     cost_mb = _cost(work, wish, name)
     work.free_mb[name] -= cost_mb
@@ -165,10 +175,10 @@
     targets.setdefault(item, wish.id)
 
 
-def _reason(work, wish):
+def _unmet_reason(work, wish):
     zone = _zone_engines(work, wish)
-    mine = work.copies.get(wish.id, set())
-    others = [n for n in zone if n not in mine]
+    own_engines = work.copies.get(wish.id, set())
+    others = [n for n in zone if n not in own_engines]
     winners = sorted({w for n in others for w in work.plan.targets[n].values() if w != wish.id})
     if not zone:
         rule = "no-engine-in-zone"
@@ -185,7 +195,7 @@
     )
     return {
         "wanted": wish.copies,
-        "placed": len(mine),
+        "placed": len(own_engines),
         "rule": rule,
         "shareSpent": over_share,
         "partner": wish.partner,
--- a/libs/placement/src/placement/world.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -1,7 +1,7 @@
-"""From the registry to what placement needs: engines, wishes, shares.
+"""Derives the input of placement from the registry: engines, wishes, shares and sizes.
 
-A service belongs to the shard that its name hashes to; shard 0 is kept for
-the layout and the engine list, so services spread over the others.
+Shard 0 holds the layout and the engine list.  Each service belongs to one of the other shards,
+chosen by a hash of its name.
 """
 
 import functools
@@ -9,7 +9,7 @@
 
 from configuration import registry as registries
 
-from placement.placement import LAST, Engine, Wish, item_name
+from placement.placement import BEST_EFFORT, Engine, Wish, item_name
 
 __all__ = [
     "shard_of",
@@ -17,38 +17,40 @@
     "usable",
     "wishes_of",
     "shares_of",
-    "size_of",
-    "charge_of",
+    "item_size",
+    "entry_charge",
     "charged",
     "engines_of",
     "placement_engines",
-    "room_of",
+    "engine_room",
 ]
 
 
 @functools.lru_cache(4096)
 def shard_of(service, shards):
+    """The shard that a service belongs to."""
     digest = hashlib.blake2b(service.encode(), digest_size=8).digest()
     return 1 + int.from_bytes(digest, "big") % (shards - 1)
 
 
 def services_of(registry, shard, shards):
+    """name -> service, of the services that belong to a shard."""
     return {n: s for n, s in registries.services(registry).items() if shard_of(n, shards) == shard}
 
 
 def usable(registry, engine):
-    """Whether new work may go to an engine at all."""
+    """Whether an engine accepts new work: it has joined, and its zone is not evacuated."""
     return engine["state"] == "join" and engine["zone"] not in registry.zones
 
 
 def engines_of(registry, service):
-    """A service's engines in the order of their names."""
+    """A service's engines, sorted by name."""
     found = [(name, e) for name, e in registry.engines.items() if e["service"] == service]
     return [engine for _, engine in sorted(found)]
 
 
-def size_of(registry, item):
-    """(room, places, partner) of an item, or None if no layout names it now."""
+def item_size(registry, item):
+    """(room in MB, adapter places, partner) of an item, or None if no layout defines it."""
     model, _, adapter = item.partition("/")
     found = registries.models(registry).get(model)
     if found is None:
@@ -61,34 +63,35 @@
     return facts.get("roomMb", 0), facts["places"], found["partner"]
 
 
-def charge_of(registry, item, entry):
-    """(room, adapter places) that a ledger's entry may be using: its size when it was
-    ordered or the one told now, whichever is more, since a layout may have changed it."""
-    told = size_of(registry, item) or (0, 0)
-    return max(entry["mb"], told[0]), max(entry["places"], told[1])
+def entry_charge(registry, item, entry):
+    """(room, adapter places) to charge for a ledger entry: the larger of its size when it was
+    ordered and its size in the current layout."""
+    current = item_size(registry, item) or (0, 0)
+    return max(entry["mb"], current[0]), max(entry["places"], current[1])
 
 
 def charged(registry, ledger, engine):
-    """(room, adapter places) that all entries on this engine may be using."""
+    """(room, adapter places) that all ledger entries of an engine may be using."""
     items = ledger.engines.get(engine, {})
-    charges = [charge_of(registry, item, entry) for item, entry in items.items()]
+    charges = [entry_charge(registry, item, entry) for item, entry in items.items()]
     return sum(mb for mb, _ in charges), sum(places for _, places in charges)
 
 
 def shares_of(service):
+    """partner -> share of the service's room; all of it for the owner if none are configured."""
     return service["shares"] or {service["partner"]: 1.0}
 
 
 def wishes_of(registry, service, ledger):
-    """Standing wishes, then models that callers wait for, then what is merely
-    still there and may stay while nobody needs the room."""
+    """The wishes of the layout, then one for each item that waiting requests need, then one for
+    each item already on an engine, which stays only while its room isn't needed."""
     models = registries.models(registry)
     found = []
     for partner, section in sorted(registry.sections.items()):
         for name, wish in sorted(section["wishes"].items()):
             if wish["service"] == service:
                 found.append(
-                    _wish(
+                    _make_wish(
                         models,
                         f"{partner}:{name}",
                         partner,
@@ -106,9 +109,9 @@
             turns[key] = min(turns.get(key, hold["turn"]), hold["turn"])
     for number, (_turn, (model, adapter)) in enumerate(sorted((t, k) for k, t in turns.items())):
         item = item_name(model, adapter)
-        if size_of(registry, item):
+        if item_size(registry, item):
             found.append(
-                _wish(
+                _make_wish(
                     models,
                     f"hold:{item}",
                     models[model]["partner"],
@@ -116,20 +119,20 @@
                     adapter,
                     1,
                     (),
-                    LAST + number,
+                    BEST_EFFORT + number,
                 )
             )
-    return found + _kept(registry, models, service, ledger)
+    return found + _already_placed(registry, models, service, ledger)
 
 
-def _kept(registry, models, service, ledger):
+def _already_placed(registry, models, service, ledger):
     found = []
     for engine, items in sorted(ledger.engines.items()):
         for item, entry in sorted(items.items()):
-            if entry["service"] == service and size_of(registry, item):
+            if entry["service"] == service and item_size(registry, item):
                 model, _, adapter = item.partition("/")
                 found.append(
-                    _wish(
+                    _make_wish(
                         models,
                         f"kept:{engine}:{item}",
                         "",
@@ -137,26 +140,27 @@
                         adapter,
                         1,
                         (),
-                        LAST * 100,
+                        BEST_EFFORT * 100,
                         engine,
                     )
                 )
     return found
 
 
-def _wish(models, id_, partner, model, adapter, copies, zones, yields, only=""):
+def _make_wish(models, id_, partner, model, adapter, copies, zones, yields, only=""):
     facts = models[model]
     places = facts["adapters"][adapter]["places"] if adapter else 0
     return Wish(id_, partner, model, adapter, copies, zones, yields, facts["roomMb"], places, only)
 
 
 def placement_engines(registry, service, reports):
-    """Engines that placement may count on, with the smaller of told rooms."""
+    """Usable engines with a current report; each capacity is the smaller of the configured and
+    the reported one."""
     found = []
     for engine in engines_of(registry, service):
         report = reports.get(engine["name"])
         if usable(registry, engine) and report is not None:
-            roomMb, places = room_of(registry, engine)
+            roomMb, places = engine_room(registry, engine)
             found.append(
                 Engine(
                     engine["name"],
@@ -168,8 +172,8 @@
     return found
 
 
-def room_of(registry, engine):
-    """(room, adapter places) of an engine, its own or as its service's layout says."""
+def engine_room(registry, engine):
+    """(room, adapter places) of an engine: its own values, or the defaults of its service."""
     service = registries.services(registry).get(engine["service"], {})
     return (
         engine["roomMb"] or service.get("roomMb", 0),
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -1,50 +1,64 @@
-"""What a placer keeps in memory beside the shard's replicated ledger."""
+"""What a placer keeps in memory in addition to the shard's replicated ledger."""
 
 from dataclasses import dataclass, field
 
 from replication import shard_log
 
+from placement import attempt_outcomes
 from placement import demand as demands
 from placement import ledger as ledgers
-from placement import watching
 
-__all__ = ["LineState", "PendingCall", "Placer", "PlanState", "Terms", "log"]
+__all__ = [
+    "WaitQueueState",
+    "PendingCall",
+    "Placer",
+    "PlanState",
+    "PlacerSettings",
+    "append_record",
+]
 
 
 @dataclass(frozen=True)
-class Terms:
-    """All in ms, ratios of the bounds in config."""
-
-    call_ms: float
-    report_ms: float
-    dark_ms: float
+class PlacerSettings:
+    """Timing and size limits of a placer; `config` derives the times from its bounds.
+
+    `call_timeout_ms`: of a call to an engine; `report_interval_ms`: between reports of an engine;
+    `unreachable_ms`: after this time without an answer, an engine's last report is discarded;
+    `turnMs`: least wait before a new lease holder gives orders; with 0, plans are only computed on
+    ticks; `lagMs`: by how much the content of a report may be older than the request for it;
+    `max_holds`, `max_holds_per_model`: limits of waiting requests."""
+
+    call_timeout_ms: float
+    report_interval_ms: float
+    unreachable_ms: float
     turnMs: float = 0.0
-    list_ms: float = 1000.0
+    list_interval_ms: float = 1000.0
     lagMs: float = 0.0
     checkpoint_records: int = 2000
-    holds_max: int = 2000
-    holds_per_model: int = 200
+    max_holds: int = 2000
+    max_holds_per_model: int = 200
 
 
 @dataclass(frozen=True)
 class PendingCall:
-    """A call to an engine that hasn't ended; `item` and `order` are empty for a report.
-    `expected`: the count of orders that the engine is to have taken, None if any."""
+    """A call to an engine that is in flight; `item` and `order` are empty for a report.
+    `expected`: how many orders the engine must have taken before, None for any number."""
 
     verb: str
     engine: str
     item: str
     order: str
-    asked_ms: float
+    sent_ms: float
     expected: int | None = None
 
 
 @dataclass
 class PlanState:
-    """`tokens`: service -> (loads that the store bears now, at); `plans`: service -> (inputs,
-    plan); `queues`: service -> (engine, item) still to be loaded; `load_ms`: service -> how
-    long loads have been taking; `refused_ms`: (engine, item) -> when an order was refused;
-    `lingering_ms`: order -> since when its load is counted on an engine that is gone."""
+    """State of planning.  `tokens`: service -> (tokens in the weight store's bucket, time);
+    `plans`: service -> (inputs, plan); `queues`: service -> (engine, item) still to be loaded;
+    `load_ms`: service -> average duration of loads; `refused_ms`: (engine, item) -> when an
+    order was refused; `lingering_ms`: order -> since when its load counts as open although its
+    engine is gone."""
 
     tokens: dict = field(default_factory=dict)
     plans: dict = field(default_factory=dict)
@@ -56,37 +70,44 @@
 
 
 @dataclass
-class LineState:
-    """Of callers who wait: `since_ms` by id, and `hope_ms`, when each was told to be served."""
+class WaitQueueState:
+    """Waiting requests by id: `since_ms`, when each began to wait; `estimated_ms`, when it was
+    first expected to be served."""
 
     since_ms: dict = field(default_factory=dict)
-    hope_ms: dict = field(default_factory=dict)
+    estimated_ms: dict = field(default_factory=dict)
 
 
 @dataclass
 class Placer:
-    """The holder of a service's shard.  `engines`: name -> EngineView, what is known of each
-    engine beside the ledger's entries; `calls`: id -> PendingCall; `own`: whether this node
-    held the shard before as well."""
+    """State of the lease holder of a service shard.
+
+    `held`: the shard's log; `held_before`: whether this node was the previous lease holder too;
+    `not_before_ms`: no orders are given before this time; `engines`: name -> EngineView, what is
+    known of each engine beyond the ledger's entries; `calls`: id -> PendingCall; `notes`: log
+    lines not yet emitted."""
 
     shard: int
     epoch: int
     held: shard_log.ShardLog
-    own: bool = False
+    held_before: bool = False
     ledger: ledgers.Ledger = field(default_factory=ledgers.Ledger)
     not_before_ms: float = float("inf")
     engines: dict = field(default_factory=dict)
     demand: demands.Demand = field(default_factory=demands.Demand)
     plan: PlanState = field(default_factory=PlanState)
-    line: LineState = field(default_factory=LineState)
+    wait_queue: WaitQueueState = field(default_factory=WaitQueueState)
     calls: dict = field(default_factory=dict)
     report_count: int = 0
-    watch: watching.Watch = field(default_factory=watching.Watch)
+    outcome_history: attempt_outcomes.OutcomeHistory = field(
+        default_factory=attempt_outcomes.OutcomeHistory
+    )
     notes: list = field(default_factory=list)
     summary_ms: float = float("-inf")
 
 
-def log(p, record, then=None):
-    """Apply a record to our own ledger and append it; `then` waits for DURABLE."""
-    ledgers.apply(p.ledger, record)
-    shard_log.append(p.held, record, then)
+def append_record(placer, record, then=None):
+    """Apply a record to the ledger and append it to the log; `then` is passed to
+    `placer.on_durable` once the record is committed."""
+    ledgers.apply(placer.ledger, record)
+    shard_log.append(placer.held, record, then)
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -1,16 +1,16 @@
-"""Who waits for a service's models, and what keeps these from coming up."""
+"""Summarizes the requests that wait for a service's models, and what delays the loads."""
 
 from collections import Counter
 
-from placement import making_room, world
-from placement.demand_view import claim
+from placement import eviction, registry_view
+from placement.demand_view import priority
 
-__all__ = ["of"]
+__all__ = ["summarize"]
 
 
-def of(view):
-    """Facts for the log: callers and models that are waited for, the longest wait in ms,
-    and for those that are neither up nor on their way what holds them up at most engines."""
+def summarize(view):
+    """Facts for the log: the waiting requests, the models they wait for, the longest wait in ms,
+    and for models neither loaded nor being loaded the reason that applies at most engines."""
     callers = [since_ms for found in view.waiting.values() for since_ms, _ in found]
     models = [item for item in view.waiting if "/" not in item]
     missing = [model for model in models if not view.copies.get(model)]
@@ -22,27 +22,27 @@
         "oldestMs": round(view.now_ms - min(callers)),
         "engines": len(view.engines),
         "suspects": len(view.placer.ledger.suspects),
-        "runMs": round(1000 * view.placer.demand.run_s),
-        "kept": len(view.placer.demand.making),
-        "heldUp": dict(Counter(_held_up_by(view, model) for model in missing)),
+        "runMs": round(1000 * view.placer.demand.request_s),
+        "kept": len(view.placer.demand.reserved),
+        "heldUp": dict(Counter(_blocking_reason(view, model) for model in missing)),
     }
 
 
-def _held_up_by(view, model):
-    size = world.size_of(view.registry, model)
+def _blocking_reason(view, model):
+    size = registry_view.item_size(view.registry, model)
     if size is None:
         return "unknown"
-    reasons = Counter(_reason(view, model, size[0], name) for name in view.engines)
+    reasons = Counter(_engine_reason(view, model, size[0], name) for name in view.engines)
     return reasons.most_common(1)[0][0]
 
 
-def _reason(view, model, size_mb, name):
-    kept = view.placer.demand.making.items()
+def _engine_reason(view, model, size_mb, name):
+    kept = view.placer.demand.reserved.items()
     if any(engine == name and other != model for other, (engine, _) in kept):
-        return "engine kept for another"
+        return "engine kept for another model"
     if name not in view.idle:
         return "engine busy"
-    pushed = making_room.pushed_out(view, name, model, size_mb)
+    pushed = eviction.eviction_for(view, name, model, size_mb)
     if pushed is None:
-        return "nothing may give way"
-    return "worth less" if pushed[0] > claim(view, model) else "store"
+        return "no room can be freed"
+    return "lower priority" if pushed[0] > priority(view, model) else "store"
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -8,9 +8,8 @@
 from dataclasses import dataclass, field
 
 from configuration import registry as registries
+from placement import engine_list_polling, placer
 from placement import ledger as ledgers
-from placement import placer
-from placement import roster as rosters
 from placement.state import Placer
 from replication import shard_log, state_machine
 from transport import failures
@@ -43,7 +42,9 @@
     epoch: int
     held: shard_log.ShardLog
     registry: registries.Registry
-    roster: rosters.Roster = field(default_factory=rosters.Roster)
+    roster: engine_list_polling.EngineListPoll = field(
+        default_factory=engine_list_polling.EngineListPoll
+    )
 
 
 @dataclass
@@ -75,7 +76,7 @@
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, own=part.before == card.name)
+                else Placer(shard, part.epoch, held, held_before=part.before == card.name)
             )
             effects.append(LogLine("holds", {"shard": shard, "epoch": part.epoch}, True))
         elif kept and not mine and part.epoch > kept.epoch:
@@ -96,7 +97,7 @@
         shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
         if kept.shard == 0:
             if now_ms < end_ms and not held.lost:
-                effects += rosters.tick(
+                effects += engine_list_polling.tick(
                     kept.roster, now_ms, terms, ownership.provider, f"0|{kept.epoch}"
                 )
         else:
@@ -137,7 +138,7 @@
         kept.registry = registries.load(kept.held.checkpoint, ownership.zones, ownership.reader)
         registries.replay(kept.registry, kept.held.records)
     else:
-        placer.taken_over(kept, now_ms, terms)
+        placer.on_taken_over(kept, now_ms, terms)
     kept.held.checkpoint, kept.held.records = b"", []
     facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
     return effects + [LogLine("recovered", facts, True)]
@@ -178,7 +179,7 @@
 
 def _listed(ownership, now_ms, kept, id_, called, terms):
     """A page of the platform's list came: what has changed is logged for all."""
-    effects, changed = rosters.on_called(
+    effects, changed = engine_list_polling.on_called(
         kept.roster,
         now_ms,
         id_,
@@ -209,7 +210,7 @@
     ):
         return [Reply(token, failures.NoHolder(1000, shard))]
     if shard != 0:
-        return placer.command(kept, now_ms, token, verb, body, floor.registry, terms)
+        return placer.on_command(kept, now_ms, token, verb, body, floor.registry, terms)
     try:
         record, answer, failure = registries.decide(kept.registry, verb, body)
     except Exception as failed:
--- a/libs/simulation/src/simulation/placing.py
+++ b/libs/simulation/src/simulation/placing.py
@@ -5,14 +5,16 @@
 import itertools
 from dataclasses import dataclass, field
 
-from placement import placer, state, world
+from placement import placer, registry_view, state
 from replication.shard_log import ShardLog
 from transport.effects import EngineCall, Reply
 from transport.events import CallEnded
 
 __all__ = ["TERMS", "Late", "PlainEngine", "Scene", "Stale", "engine_facts"]
 
-TERMS = state.Terms(call_ms=960.0, report_ms=450.0, dark_ms=3000.0, turnMs=0.0, lagMs=300.0)
+TERMS = state.PlacerSettings(
+    call_timeout_ms=960.0, report_interval_ms=450.0, unreachable_ms=3000.0, turnMs=0.0, lagMs=300.0
+)
 SHARDS = 4
 _TICK_MS = 40.0
 _REPORT_LAG_MS = TERMS.lagMs - _TICK_MS
@@ -129,7 +131,7 @@
 
     def __init__(self, registry, service, engines, answers=None):
         self.registry, self.service, self.now_ms = registry, service, 10000.0
-        self.shard = world.shard_of(service, SHARDS)
+        self.shard = registry_view.shard_of(service, SHARDS)
         self.p = state.Placer(self.shard, 1, ShardLog(self.shard, 1, ready=True))
         self.p.not_before_ms = 0.0
         self.engines = {e.name: e for e in engines}
@@ -159,7 +161,7 @@
         self.durable()
 
     def command(self, verb, body):
-        self._do(placer.command(self.p, self.now_ms, "t", verb, body, self.registry, TERMS))
+        self._do(placer.on_command(self.p, self.now_ms, "t", verb, body, self.registry, TERMS))
         self.durable()
 
     def durable(self):
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -6,7 +6,7 @@
 
 from adapter import callers, configuration, engines
 from configuration import registry as registries
-from placement import engine_reports, roster
+from placement import engine_list_polling, engine_reports
 from placement import state as dispatching
 from replication.shard_log import ShardLog
 from routing.passing import Head
@@ -95,17 +95,17 @@
 
 class Engines(TestCase):
     def test_lists(self):
-        """The roster and the registry accept whatever is read from a page of the engine list."""
-        rng, terms = random.Random(1), dispatching.Terms(100.0, 100.0, 100.0)
+        """The engine list and the registry accept whatever is read from a page of the list."""
+        rng, terms = random.Random(1), dispatching.PlacerSettings(100.0, 100.0, 100.0)
         for _ in range(2000):
             page = corrupted(rng, {"engines": [ENTRY, {**ENTRY, "id": "i-2"}], "nextToken": "p-2"})
             data = json.dumps(page).encode()
             data = torn(rng, data) if rng.random() < 0.3 else data
             found = engines.read_call("list", {"token": ""}, 200, data)
             self.assertIsInstance(found, dict)
-            engine_roster, registry = roster.Roster(), registries.Registry()
-            roster.tick(engine_roster, 1000.0, terms, "http://p", "0|1")
-            effects, changed = roster.on_called(
+            engine_roster, registry = engine_list_polling.EngineListPoll(), registries.Registry()
+            engine_list_polling.tick(engine_roster, 1000.0, terms, "http://p", "0|1")
+            effects, changed = engine_list_polling.on_called(
                 engine_roster,
                 1001.0,
                 "list:1",
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -11,7 +11,7 @@
 from adapter.dialect import DIALECT
 from configuration import document_facts
 from configuration.registry import Registry
-from placement import floor
+from placement import cluster_state
 from process_harness import lone_counter
 from pulleyhitch import config, server
 from routing import answers, choice, passing, router
@@ -199,7 +199,7 @@
         section = document_facts.section(
             {}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}}
         )
-        self.floor = floor.Floor(
+        self.floor = cluster_state.ClusterState(
             SHARDS,
             registry=Registry(
                 sections={"floor": section},
