--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -44,7 +44,7 @@
     gossip_ms: float
     lost_ms: float
     cards: dict = field(default_factory=dict)
-    heard_ms: dict = field(default_factory=dict)
+    last_contact_ms: dict = field(default_factory=dict)
     alive_ms: dict = field(default_factory=dict)
     group: GroupCard = NO_GROUP
     next_ms: float = 0.0
@@ -151,9 +151,9 @@
     gaps, or replaces one met before it whose node has been silent here."""
     old, before = peers.cards.get(card.name), peers.met_ms.get(card.name, -1e12)
     if met_ms is None:
-        peers.heard_ms[card.name] = peers.alive_ms[card.name] = met_ms = now_ms
+        peers.last_contact_ms[card.name] = peers.alive_ms[card.name] = met_ms = now_ms
     elif old not in (None, card) and (
-        met_ms <= before or (now_ms - peers.heard_ms.get(card.name, -1e12) <= peers.lost_ms)
+        met_ms <= before or (now_ms - peers.last_contact_ms.get(card.name, -1e12) <= peers.lost_ms)
     ):
         return []
     if old == card:
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -155,7 +155,7 @@
                 "role": s.role,
                 "address": s.address,
                 "place": s.place,
-                "silentMs": round(now_ms - s.heard_ms),
+                "silentMs": round(now_ms - s.last_contact_ms),
             }
             for n, s in sorted(depot.nodes.seen.items())
         },
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -68,7 +68,7 @@
                 lambda: Greet(self._node.card, False, (), self._node.peers.group),
                 lambda sender, message: self._queue.put(e.Received(sender, message)),
                 self._note,
-                configs.times(config).elect_ms,
+                configs.times(config).election_timeout_ms,
             )
         except OSError as failed:
             raise CannotStart(failures.AddressTaken(config.listen)) from failed
@@ -79,7 +79,7 @@
             return None, None
         try:
             disk = disks.Disk(config.folder, 8 << 20)
-        except disks.DiskFailed as failed:
+        except disks.DiskError as failed:
             raise CannotStart(failed.failure) from failed
         identity = disk.loaded.files.get("identity")
         if identity is None:
@@ -93,7 +93,9 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.elect_at_ms = _now() + _FIRST_ELECT * group.times.elect_ms * (1 + random.random())
+        group.election_due_ms = _now() + _FIRST_ELECT * group.times.election_timeout_ms * (
+            1 + random.random()
+        )
         return disk, group
 
     def _note(self, what, facts):
@@ -182,7 +184,7 @@
         try:
             for effect in nodes.handle(self._node, _now(), event):
                 self._do(effect)
-        except disks.DiskFailed as failed:
+        except disks.DiskError as failed:
             self._fail(failed.failure)
         except OSError as failed:
             self._fail(failures.DiskUntrusted("data folder", str(failed.strerror)))
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -11,7 +11,7 @@
 from transport.effects import Note, Send
 from transport.messages import BootstrapReply, BootstrapRequest, Member
 
-from replication.group import last_index, save_promise
+from replication.group import last_index, save_persistent_state
 
 __all__ = ["Bootstrap", "tick", "on_ask", "on_agree"]
 
@@ -55,7 +55,7 @@
             bootstrap.group, bootstrap.members, bootstrap.agreed = _name(empties), empties, set()
         if known not in ("", bootstrap.group):
             return []
-    if now_ms - bootstrap.asked_ms < replica.times.elect_ms / 2:
+    if now_ms - bootstrap.asked_ms < replica.times.election_timeout_ms / 2:
         return []
     bootstrap.asked_ms = now_ms
     ask = (
@@ -83,8 +83,8 @@
 
 def _adopt(replica, now_ms, group, founders):
     replica.group, replica.founders = group, founders
-    replica.elect_at_ms = now_ms + replica.times.elect_ms * replica.random.random()
-    return [save_promise(replica), Note("founds", {"group": group})]
+    replica.election_due_ms = now_ms + replica.times.election_timeout_ms * replica.random.random()
+    return [save_persistent_state(replica), Note("founds", {"group": group})]
 
 
 def on_agree(replica, bootstrap, now_ms, answer):
--- a/libs/replication/src/replication/catch_up.py
+++ b/libs/replication/src/replication/catch_up.py
@@ -33,6 +33,6 @@
     round_.target, round_.began_ms = index, now_ms
 
 
-def caught_up(round_, now_ms, elect_ms):
+def caught_up(round_, now_ms, election_timeout_ms):
     """Whether the last round was short, and the one under way is not long already."""
-    return round_.took_ms < elect_ms and now_ms - round_.began_ms < elect_ms
+    return round_.took_ms < election_timeout_ms and now_ms - round_.began_ms < election_timeout_ms
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -84,7 +84,7 @@
         return log_following.on_entries(replica, now_ms, sender, message)
     if isinstance(message, m.AppendReply):
         if message.term > replica.term:
-            return election.step_back(replica, message.term, now_ms)
+            return election.step_down(replica, message.term, now_ms)
         return log_replication.on_ack(replica, now_ms, message)
     if isinstance(message, (m.ReplicaChunk, m.ReplicaChunkReply)):
         return _on_snapshot_message(replica, now_ms, sender, message)
@@ -109,7 +109,7 @@
     if isinstance(message, m.ReplicaChunk):
         return snapshot_receiving.on_chunk(replica, now_ms, sender, message)
     if message.term > replica.term:
-        return election.step_back(replica, message.term, now_ms)
+        return election.step_down(replica, message.term, now_ms)
     return snapshot_sending.on_chunk_reply(replica, now_ms, message)
 
 
@@ -130,7 +130,7 @@
     if isinstance(message, m.Append):
         seen = nodes.seen.get(message.name)
         if seen and seen.incarnation == message.incarnation:
-            seen.heard_ms = now_ms
+            seen.last_contact_ms = now_ms
         return batch_writer.stage(replica, writer, now_ms, sender, message.section)
     if isinstance(message, m.RecoverAsk):
         return leases.on_recover(replica, writer, sender, message)
--- a/libs/replication/src/replication/disk.py
+++ b/libs/replication/src/replication/disk.py
@@ -18,9 +18,16 @@
 from transport import failures
 
 from replication import segment_format
-from replication.versioned_files import ASIDE, DiskFailed, load, save, sync_file, sync_folder
+from replication.versioned_files import (
+    TEMPORARY_SUFFIX,
+    DiskError,
+    load,
+    save,
+    sync_file,
+    sync_folder,
+)
 
-__all__ = ["Disk", "DiskFailed", "Loaded"]
+__all__ = ["Disk", "DiskError", "Loaded"]
 
 _SEGMENT = re.compile(r"log\.(\d{12})$")
 # A snapshot's file begins with this and the number of the first segment that counts:
@@ -58,7 +65,7 @@
         last = after + len(log)
         found = segment_format.scan(path.read_bytes(), last)
         if found.damaged:
-            raise DiskFailed(failures.DiskUntrusted(path.name, "hole in the middle"))
+            raise DiskError(failures.DiskUntrusted(path.name, "hole in the middle"))
         if found.entries and found.entries[0].index > last + 1 and found.known <= last:
             continue
         for entry in found.entries:
@@ -70,7 +77,7 @@
     """Put an entry in its place, in place of all that was there and later."""
     at = entry.index - after - 1
     if at > len(log):
-        raise DiskFailed(failures.DiskUntrusted("log", "missing entries"))
+        raise DiskError(failures.DiskUntrusted("log", "missing entries"))
     del log[max(0, at) :]
     if at >= 0:
         log.append(entry)
@@ -116,7 +123,7 @@
         self._current, self._at, self._open = None, 0, {}
         self._take_folder()
         sync_folder(self._folder)
-        for left_over in self._folder.glob("*" + ASIDE):
+        for left_over in self._folder.glob("*" + TEMPORARY_SUFFIX):
             left_over.unlink()
         files = {n: load(self._folder, n) for n in ("promise", "view", "identity")}
         files["view"], first = _open_snapshot(files["view"])
@@ -133,13 +140,13 @@
             self._folder.mkdir(parents=True, exist_ok=True)
             self._lock = open(self._folder / "lock", "w", encoding="ascii")
         except OSError as failed:
-            raise DiskFailed(
+            raise DiskError(
                 failures.FolderUnwritable(str(self._folder), str(failed.strerror))
             ) from failed
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as failed:
-            raise DiskFailed(failures.FolderInUse(str(self._folder))) from failed
+            raise DiskError(failures.FolderInUse(str(self._folder))) from failed
 
     def write(self, effect):
         """Do one effect and return how long its sync took."""
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -19,7 +19,7 @@
     leader_live,
     majority,
     members,
-    save_promise,
+    save_persistent_state,
 )
 
 __all__ = [
@@ -27,9 +27,9 @@
     "on_vote_request",
     "on_vote_reply",
     "on_transfer_leadership",
-    "hand_over",
-    "step_back",
-    "restart_clock",
+    "transfer_leadership",
+    "step_down",
+    "reset_election_timer",
 ]
 
 # At most so many elections of the old leader's silence count when a new one begins, which
@@ -37,11 +37,13 @@
 _SILENT_ELECTIONS = 3
 
 
-def restart_clock(replica, now_ms):
-    replica.elect_at_ms = now_ms + replica.times.elect_ms * (1 + replica.random.random())
+def reset_election_timer(replica, now_ms):
+    replica.election_due_ms = now_ms + replica.times.election_timeout_ms * (
+        1 + replica.random.random()
+    )
 
 
-def step_back(replica, term, now_ms):
+def step_down(replica, term, now_ms):
     """Become a follower; a newer term is saved before anything else is told."""
     effects = []
     if replica.role == "leader":
@@ -52,8 +54,8 @@
         replica.term, replica.voted_for = term, ""
         replica.leader = replica.leader_address = ""
         replica.verified = 0
-        effects.append(save_promise(replica))
-    restart_clock(replica, now_ms)
+        effects.append(save_persistent_state(replica))
+    reset_election_timer(replica, now_ms)
     return effects
 
 
@@ -62,9 +64,9 @@
         return []
     if replica.role == "leader":
         return _lead_tick(replica, now_ms)
-    if now_ms < replica.elect_at_ms or _stalled(replica, now_ms):
+    if now_ms < replica.election_due_ms or _stalled(replica, now_ms):
         return []
-    restart_clock(replica, now_ms)
+    reset_election_timer(replica, now_ms)
     replica.role, replica.pre_vote, replica.votes = "candidate", True, {replica.identity}
     replica.leader = replica.leader_address = ""
     return _request_votes(replica, replica.term + 1, False) + _count(replica, now_ms, False)
@@ -72,7 +74,9 @@
 
 def _stalled(replica, now_ms):
     """Whether a write of ours has been out for longer than an election."""
-    return bool(replica.writes) and now_ms - replica.writes[0][3] > replica.times.elect_ms
+    return (
+        bool(replica.writes) and now_ms - replica.writes[0][3] > replica.times.election_timeout_ms
+    )
 
 
 def _lead_tick(replica, now_ms):
@@ -80,17 +84,21 @@
     heard = 1 + sum(
         1
         for i, o in replica.progress.items()
-        if i in voters and now_ms - o.heard_ms < 1.5 * replica.times.elect_ms
+        if i in voters and now_ms - o.last_contact_ms < 1.5 * replica.times.election_timeout_ms
     )
-    if heard < majority(replica) and now_ms - replica.led_from_ms > 1.5 * replica.times.elect_ms:
-        return step_back(replica, replica.term, now_ms) + [
+    if (
+        heard < majority(replica)
+        and now_ms - replica.leader_since_ms > 1.5 * replica.times.election_timeout_ms
+    ):
+        return step_down(replica, replica.term, now_ms) + [
             Note("majority-silent", {"term": replica.term}),
             Dump("majority-silent"),
         ]
     if _stalled(replica, now_ms):
-        return [Note("disk-stalled", {"term": replica.term}), Dump("disk-stalled")] + hand_over(
-            replica, now_ms
-        )
+        return [
+            Note("disk-stalled", {"term": replica.term}),
+            Dump("disk-stalled"),
+        ] + transfer_leadership(replica, now_ms)
     effects = []
     for peer in replica.progress.values():
         if now_ms - peer.sent_ms >= replica.times.heartbeat_ms:
@@ -98,18 +106,18 @@
     return effects
 
 
-def hand_over(replica, now_ms, heir=None):
+def transfer_leadership(replica, now_ms, heir=None):
     """Ask a voter to take over, the most caught-up one if none is named; step back."""
     if replica.role != "leader":
         return []
     voters = [o for i, o in replica.progress.items() if i in members(replica)]
     effects = []
     if voters:
-        most = max(voters, key=lambda o: (o.match, o.heard_ms))
+        most = max(voters, key=lambda o: (o.match, o.last_contact_ms))
         best = replica.progress.get(heir, most)
         effects.append(Send(best.address, TransferLeadership(replica.term)))
-    effects += step_back(replica, replica.term, now_ms)
-    replica.elect_at_ms = now_ms + 3 * replica.times.elect_ms
+    effects += step_down(replica, replica.term, now_ms)
+    replica.election_due_ms = now_ms + 3 * replica.times.election_timeout_ms
     return effects
 
 
@@ -136,7 +144,7 @@
         replica.term, replica.voted_for, replica.verified = replica.term + 1, replica.identity, 0
         replica.leader = replica.leader_address = ""
         return (
-            [save_promise(replica)]
+            [save_persistent_state(replica)]
             + _request_votes(replica, replica.term, named)
             + _count(replica, now_ms, named)
         )
@@ -149,10 +157,13 @@
         replica.identity,
         replica.address,
     )
-    replica.led_from_ms, replica.round, replica.round_sent_ms = now_ms, 0, {}
+    replica.leader_since_ms, replica.round, replica.round_sent_ms = now_ms, 0, {}
     replica.progress = {
         i: PeerProgress(
-            m.address, m.name, last_index(replica) + 1, heard_ms=_last_heard(replica, now_ms, i)
+            m.address,
+            m.name,
+            last_index(replica) + 1,
+            last_contact_ms=_last_heard(replica, now_ms, i),
         )
         for i, m in members(replica).items()
         if i != replica.identity
@@ -171,7 +182,9 @@
     """A new leader knows how long the old one has been silent, and of no other member."""
     if identity != replica.last_leader:
         return now_ms
-    return max(replica.heard_ms, now_ms - _SILENT_ELECTIONS * replica.times.elect_ms)
+    return max(
+        replica.last_contact_ms, now_ms - _SILENT_ELECTIONS * replica.times.election_timeout_ms
+    )
 
 
 def on_vote_request(replica, now_ms, sender, ask):
@@ -186,7 +199,7 @@
         return [Send(sender, VoteReply(replica.term, replica.identity, False, ask.pre_vote))]
     effects = []
     if not ask.pre_vote and ask.term > replica.term:
-        effects += step_back(replica, ask.term, now_ms)
+        effects += step_down(replica, ask.term, now_ms)
     fresh = (ask.last_term, ask.last_index) >= (last_term(replica), last_index(replica))
     if ask.pre_vote:
         granted = ask.term > replica.term and fresh and replica.role != "leader"
@@ -200,14 +213,14 @@
     )
     if granted and not replica.voted_for:
         replica.voted_for = ask.identity
-        effects.append(save_promise(replica))
-        restart_clock(replica, now_ms)
+        effects.append(save_persistent_state(replica))
+        reset_election_timer(replica, now_ms)
     return effects + [Send(sender, VoteReply(replica.term, replica.identity, granted, False))]
 
 
 def on_vote_reply(replica, now_ms, reply):
     if not reply.granted:
-        return step_back(replica, reply.term, now_ms) if reply.term > replica.term else []
+        return step_down(replica, reply.term, now_ms) if reply.term > replica.term else []
     wanted = replica.term + 1 if replica.pre_vote else replica.term
     if replica.role != "candidate" or reply.pre_vote != replica.pre_vote or reply.term != wanted:
         return []
@@ -223,6 +236,6 @@
         or replica.identity not in members(replica)
     ):
         return []
-    restart_clock(replica, now_ms)
+    reset_election_timer(replica, now_ms)
     replica.role, replica.pre_vote, replica.votes = "candidate", True, set(members(replica))
     return _count(replica, now_ms, True)
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -106,7 +106,7 @@
         effect
         for node in nodes.seen.values()
         if node.sent_place < replica.commit
-        and now_ms - node.heard_ms < 3 * times.ping_ms
+        and now_ms - node.last_contact_ms < 3 * times.ping_ms
         and (node.role == times.placers or now_ms - node.sent_ms >= _PACE * times.heartbeat_ms)
         for effect in push_to(replica, nodes, node, now_ms)
     ]
--- a/libs/replication/src/replication/feed_snapshots.py
+++ b/libs/replication/src/replication/feed_snapshots.py
@@ -28,7 +28,7 @@
 
 def _drop_silent(replica, nodes, now_ms):
     for node in nodes.seen.values():
-        if node.transfer and now_ms - node.heard_ms > _SILENT_PINGS * replica.times.ping_ms:
+        if node.transfer and now_ms - node.last_contact_ms > _SILENT_PINGS * replica.times.ping_ms:
             node.transfer = None
 
 
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -51,7 +51,7 @@
     """Our state on its way to a peer, and when that was last heard of."""
 
     outgoing: snapshot_transfer.Outgoing
-    heard_ms: float = -1e12
+    last_contact_ms: float = -1e12
 
 
 @dataclass
@@ -200,7 +200,7 @@
             return []
         relayed = Relayed(snapshot_transfer.Outgoing(_state(follow)))
         follow.relayed[sender] = relayed
-    relayed.heard_ms = now_ms
+    relayed.last_contact_ms = now_ms
     chunks = snapshot_transfer.chunks_due(relayed.outgoing)
     chunks = chunks or [snapshot_transfer.probe(relayed.outgoing)]
     return [Send(sender, FeedChunk(follow.term, chunk)) for chunk in chunks]
@@ -208,7 +208,7 @@
 
 def _drop_old(follow, now_ms):
     for sender, relayed in list(follow.relayed.items()):
-        if now_ms - relayed.heard_ms > _RELAY_MS:
+        if now_ms - relayed.last_contact_ms > _RELAY_MS:
             del follow.relayed[sender]
 
 
@@ -228,7 +228,7 @@
     relayed = follow.relayed.get(sender)
     if relayed is None:
         return []
-    relayed.heard_ms = now_ms
+    relayed.last_contact_ms = now_ms
     if snapshot_transfer.on_ack(relayed.outgoing, reply.ack):
         del follow.relayed[sender]
         return []
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -20,7 +20,7 @@
     "Replica",
     "Times",
     "PeerProgress",
-    "Promise",
+    "PersistentState",
     "term_at",
     "last_index",
     "last_term",
@@ -28,7 +28,7 @@
     "majority",
     "counted_voters",
     "entry_at",
-    "save_promise",
+    "save_persistent_state",
     "group_card",
     "learn_members",
     "open_replica",
@@ -42,7 +42,7 @@
 class Times:
     """All in ms, ratios of the bounds in config (see pulleyhitch.config)."""
 
-    elect_ms: float
+    election_timeout_ms: float
     heartbeat_ms: float
     ping_ms: float
     revoke_ms: float
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Promise:
+class PersistentState:
     """What must outlive the process: saved, synced, before it is told."""
 
     group: str
@@ -77,7 +77,7 @@
     next: int = 1
     match: int = 0
     round: int = 0
-    heard_ms: float = 0.0
+    last_contact_ms: float = 0.0
     sent_ms: float = -1e9
     learner: bool = False
     catch_up: CatchUp | None = None
@@ -103,8 +103,8 @@
     leader: str = ""
     leader_address: str = ""
     last_leader: str = ""
-    heard_ms: float = 0.0
-    elect_at_ms: float = 0.0
+    last_contact_ms: float = 0.0
+    election_due_ms: float = 0.0
     pre_vote: bool = False
     votes: set = field(default_factory=set)
     log: list = field(default_factory=list)
@@ -122,7 +122,7 @@
     progress: dict = field(default_factory=dict)
     round: int = 0
     round_sent_ms: dict = field(default_factory=dict)
-    led_from_ms: float = 0.0
+    leader_since_ms: float = 0.0
     term_index: int = 0
     departures: dict = field(default_factory=dict)
     successor: str = ""
@@ -180,15 +180,15 @@
             replica.member_entries.append((entry.index, probe.members))
 
 
-def save_promise(replica):
+def save_persistent_state(replica):
     return Save(
         "promise",
-        to_bytes(Promise(replica.group, replica.term, replica.voted_for, replica.founders)),
+        to_bytes(PersistentState(replica.group, replica.term, replica.voted_for, replica.founders)),
     )
 
 
 def leader_live(replica, now_ms):
-    return replica.leader and now_ms - replica.heard_ms < replica.times.elect_ms
+    return replica.leader and now_ms - replica.last_contact_ms < replica.times.election_timeout_ms
 
 
 def group_card(replica):
@@ -217,7 +217,7 @@
 def open_replica(replica, files, entries):
     """Bring a group up from what its folder held."""
     if files.get("promise"):
-        kept = from_bytes(Promise, files["promise"])
+        kept = from_bytes(PersistentState, files["promise"])
         replica.group, replica.term, replica.voted_for = kept.group, kept.term, kept.voted_for
         replica.founders = kept.founders
     if files.get("view"):
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -23,7 +23,7 @@
     address: str
     incarnation: str
     role: str
-    heard_ms: float
+    last_contact_ms: float
     place: int = 0
     answered_ms: float = -1.0
     took_ms: float = 0.0
@@ -65,7 +65,7 @@
             sent_place=ask.place,
         )
         return
-    old.heard_ms, old.address, old.place = now_ms, ask.address, ask.place
+    old.last_contact_ms, old.address, old.place = now_ms, ask.address, ask.place
     old.role = ask.role
     if ask.answered_ms > old.answered_ms:
         old.answered_ms, old.took_ms = ask.answered_ms, now_ms
@@ -76,7 +76,7 @@
     gap_ms = now_ms - nodes.tick_ms if nodes.tick_ms >= 0 else 0.0
     if gap_ms > 2 * replica.times.heartbeat_ms:
         for node in nodes.seen.values():
-            node.heard_ms += gap_ms
+            node.last_contact_ms += gap_ms
             node.took_ms += gap_ms
     nodes.tick_ms = now_ms
 
@@ -86,7 +86,7 @@
         name
         for name, s in sorted(nodes.seen.items())
         if s.role == replica.times.placers
-        and now_ms - s.heard_ms < 2.5 * replica.times.ping_ms
+        and now_ms - s.last_contact_ms < 2.5 * replica.times.ping_ms
         and now_ms - s.took_ms < 5 * replica.times.ping_ms
     ]
 
@@ -96,10 +96,10 @@
         return True
     holder = nodes.seen.get(part.holder)
     if holder is None:
-        return now_ms - replica.led_from_ms > replica.times.revoke_ms
+        return now_ms - replica.leader_since_ms > replica.times.revoke_ms
     if holder.incarnation != part.incarnation or holder.role != replica.times.placers:
         return True
-    return now_ms - min(holder.heard_ms, holder.took_ms) > replica.times.revoke_ms
+    return now_ms - min(holder.last_contact_ms, holder.took_ms) > replica.times.revoke_ms
 
 
 def _held_by(replica, nodes, now_ms):
@@ -123,7 +123,7 @@
 
 
 def lease_tick(replica, writer, nodes, now_ms, shards):
-    if not writer.serving or now_ms - replica.led_from_ms < 2 * replica.times.ping_ms:
+    if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.times.ping_ms:
         return []
     effects, held = [], _held_by(replica, nodes, now_ms)
     for shard in range(shards):
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -64,7 +64,7 @@
     if not replica.group:
         return _end(leave, "no member")
     if now_ms >= leave.until_ms:
-        return election.hand_over(replica, now_ms) + _end(leave, "time is up")
+        return election.transfer_leadership(replica, now_ms) + _end(leave, "time is up")
     if replica.role == "leader":
         return _as_leader(replica, leave, now_ms)
     if now_ms - leave.asked_ms < replica.times.heartbeat_ms / 2:
@@ -86,14 +86,14 @@
         return []
     if len(voters) == 1:
         return _end(leave, "no other member")
-    if patient and now_ms - replica.led_from_ms < replica.times.elect_ms:
+    if patient and now_ms - replica.leader_since_ms < replica.times.election_timeout_ms:
         return []
     if replica.member_entries and patient:
         return []
     heir = _heir(replica, now_ms)
     if heir is None or (patient and heir in replica.departures):
         return []
-    return election.hand_over(replica, now_ms, heir)
+    return election.transfer_leadership(replica, now_ms, heir)
 
 
 def _heir(replica, now_ms):
@@ -150,7 +150,9 @@
     """As leader: forget who came back or is no member, and count again whom we need."""
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
-        back = peer and peer.heard_ms > departure.asked_ms + replica.times.elect_ms
+        back = (
+            peer and peer.last_contact_ms > departure.asked_ms + replica.times.election_timeout_ms
+        )
         if identity not in members(replica) or (back and identity != replica.identity):
             del replica.departures[identity]
         else:
@@ -179,7 +181,7 @@
     holding = [
         other
         for other in _staying(replica, now_ms, identity, departure.set_aside_at)
-        if other == replica.identity or replica.progress[other].heard_ms > departure.began_ms
+        if other == replica.identity or replica.progress[other].last_contact_ms > departure.began_ms
     ]
     return len(holding) >= majority(replica)
 
@@ -199,7 +201,7 @@
     if identity == replica.identity:
         return replica.synced >= index
     peer = replica.progress.get(identity)
-    heard = peer is not None and now_ms - peer.heard_ms < replica.times.elect_ms
+    heard = peer is not None and now_ms - peer.last_contact_ms < replica.times.election_timeout_ms
     return heard and 0 < peer.match >= index
 
 
@@ -221,7 +223,7 @@
 
 def learner_leaves(replica, peer):
     """Whether a learner asked to leave, and hasn't come back since; it was told that it may."""
-    return peer.heard_ms <= peer.leaves_ms + replica.times.elect_ms
+    return peer.last_contact_ms <= peer.leaves_ms + replica.times.election_timeout_ms
 
 
 def _successor_in_sight(replica, now_ms):
@@ -230,6 +232,6 @@
         peer.learner
         and identity not in replica.departures
         and not learner_leaves(replica, peer)
-        and now_ms - peer.heard_ms < replica.times.elect_ms
+        and now_ms - peer.last_contact_ms < replica.times.election_timeout_ms
         for identity, peer in replica.progress.items()
     )
--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -12,7 +12,7 @@
     last_index,
     learn_members,
     read_snapshot_file,
-    save_promise,
+    save_persistent_state,
     term_at,
 )
 
@@ -50,16 +50,18 @@
     if message.term > replica.term or len(effects):
         replica.term = max(replica.term, message.term)
         replica.voted_for, replica.verified = "", 0
-        effects.append(save_promise(replica))
+        effects.append(save_persistent_state(replica))
     if replica.role != "follower":
         replica.role = "follower"
-    replica.leader, replica.leader_address, replica.heard_ms = (
+    replica.leader, replica.leader_address, replica.last_contact_ms = (
         message.identity,
         message.address,
         now_ms,
     )
     replica.last_leader = message.identity
-    replica.elect_at_ms = now_ms + replica.times.elect_ms * (1 + replica.random.random())
+    replica.election_due_ms = now_ms + replica.times.election_timeout_ms * (
+        1 + replica.random.random()
+    )
     return effects
 
 
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -58,7 +58,7 @@
     for identity, member in members(replica).items():
         if identity != replica.identity and identity not in replica.progress:
             replica.progress[identity] = PeerProgress(
-                member.address, member.name, last_index(replica), heard_ms=now_ms
+                member.address, member.name, last_index(replica), last_contact_ms=now_ms
             )
     for identity in [
         i for i, o in replica.progress.items() if i not in members(replica) and not o.learner
@@ -71,7 +71,7 @@
         address,
         name,
         last_index(replica) + 1,
-        heard_ms=now_ms,
+        last_contact_ms=now_ms,
         learner=True,
         catch_up=catch_up.begin(last_index(replica), now_ms),
     )
@@ -107,7 +107,7 @@
     peer.sent_ms = now_ms
     to = _identity_of(replica, peer)
     lacks_entries = peer.next <= replica.base_index
-    if lacks_entries and now_ms - peer.heard_ms < _SILENT_REVOKES * replica.times.revoke_ms:
+    if lacks_entries and now_ms - peer.last_contact_ms < _SILENT_REVOKES * replica.times.revoke_ms:
         return snapshot_sending.messages_due(replica, peer, to)
     if peer.transfer is not None:
         snapshot_sending.finish(replica, peer)
@@ -159,7 +159,7 @@
     peer = replica.progress.get(ack.identity)
     if peer is None or ack.term < replica.term:
         return []
-    peer.heard_ms, peer.address = now_ms, ack.address
+    peer.last_contact_ms, peer.address = now_ms, ack.address
     peer.round = max(peer.round, ack.round)
     if not ack.agreed:
         return _on_mismatch(replica, peer, ack.index, now_ms)
@@ -179,7 +179,9 @@
 
     All that was under way gets the same answer; only the first of them counts, or each
     would have the same entries sent again."""
-    again = index == peer.rewound_to and now_ms - peer.rewound_ms < replica.times.elect_ms
+    again = (
+        index == peer.rewound_to and now_ms - peer.rewound_ms < replica.times.election_timeout_ms
+    )
     if again and peer.next > index + 1:
         return []
     peer.rewound_to, peer.rewound_ms = index, now_ms
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -63,7 +63,10 @@
     if identity == replica.identity:
         return True
     peer = replica.progress.get(identity)
-    return peer is not None and now_ms - peer.heard_ms < elections * replica.times.elect_ms
+    return (
+        peer is not None
+        and now_ms - peer.last_contact_ms < elections * replica.times.election_timeout_ms
+    )
 
 
 def _successors(replica, now_ms, depots):
@@ -83,7 +86,7 @@
         and identity not in replica.departures
         and not leaving.learner_leaves(replica, peer)
         and _heard(replica, now_ms, identity)
-        and catch_up.caught_up(peer.catch_up, now_ms, replica.times.elect_ms)
+        and catch_up.caught_up(peer.catch_up, now_ms, replica.times.election_timeout_ms)
     ]
     return sorted(ready, key=lambda i: (crowded[depots[i].zone], depots[i].name, i))
 
@@ -127,7 +130,7 @@
         elections = 1 if member.name in reborn else _ELECTIONS_UNTIL_LOST
         if not _heard(replica, now_ms, identity, elections):
             peer = replica.progress.get(identity)
-            found.append((peer.heard_ms if peer else float("-inf"), identity))
+            found.append((peer.last_contact_ms if peer else float("-inf"), identity))
     return [identity for _, identity in sorted(found)]
 
 
--- a/libs/replication/src/replication/snapshot_sending.py
+++ b/libs/replication/src/replication/snapshot_sending.py
@@ -53,7 +53,7 @@
     peer = replica.progress.get(reply.identity)
     if replica.role != "leader" or reply.term != replica.term or peer is None:
         return []
-    peer.heard_ms, peer.address = now_ms, reply.address
+    peer.last_contact_ms, peer.address = now_ms, reply.address
     peer.round = max(peer.round, reply.round)
     if peer.transfer is None:
         return []
--- a/libs/replication/src/replication/versioned_files.py
+++ b/libs/replication/src/replication/versioned_files.py
@@ -7,12 +7,12 @@
 
 from transport import failures
 
-__all__ = ["ASIDE", "DiskFailed", "load", "save", "sync_file", "sync_folder"]
+__all__ = ["TEMPORARY_SUFFIX", "DiskError", "load", "save", "sync_file", "sync_folder"]
 
-ASIDE = ".aside"
+TEMPORARY_SUFFIX = ".aside"
 
 
-class DiskFailed(Exception):
+class DiskError(Exception):
     def __init__(self, failure):
         super().__init__(failure.tag)
         self.failure = failure
@@ -46,7 +46,7 @@
 def save(folder, name, body):
     old = _versions(folder, name)
     number = max(old, default=0) + 1
-    aside = folder / f"{name}{ASIDE}"
+    aside = folder / f"{name}{TEMPORARY_SUFFIX}"
     with open(aside, "wb") as out:
         out.write(struct.pack(">I", zlib.crc32(body)))
         out.write(body)
@@ -65,5 +65,5 @@
     path = found[max(found)]
     data = path.read_bytes()
     if len(data) < 4 or struct.unpack(">I", data[:4])[0] != zlib.crc32(data[4:]):
-        raise DiskFailed(failures.DiskUntrusted(path.name, "checksum"))
+        raise DiskError(failures.DiskUntrusted(path.name, "checksum"))
     return data[4:]
--- a/libs/simulation/src/simulation/hollow/run.py
+++ b/libs/simulation/src/simulation/hollow/run.py
@@ -68,7 +68,7 @@
         for name, card in cards.items():
             if name != host.name:
                 peers.cards[name] = card
-                peers.alive_ms[name] = peers.heard_ms[name] = world.now_ms
+                peers.alive_ms[name] = peers.last_contact_ms[name] = world.now_ms
         peer_table.learn_group(peers, group)
         told = greetings.greeting(peers, False, world.now_ms)
         peers.digests = {c.address: (told.digest, told.names) for c in cards.values()}
--- a/libs/simulation/src/simulation/hollow/world.py
+++ b/libs/simulation/src/simulation/hollow/world.py
@@ -85,7 +85,7 @@
             random.Random(world.random.getrandbits(32)),
         )
         groups.open_replica(group, {}, [])
-        group.elect_at_ms = world.now_ms + elect_ms
+        group.election_due_ms = world.now_ms + elect_ms
     host.node = MAKE(host.config, f"{host.name}.1", world.random.getrandbits(32), group, dialect)
     world.hosts[host.name] = world.by_address[host.config.address] = host
     after(world, world.random.random() * host.node.times.ping_ms, lambda: _tick(world, host))
--- a/libs/simulation/src/simulation/model/endings.py
+++ b/libs/simulation/src/simulation/model/endings.py
@@ -73,7 +73,7 @@
         core.group.random = random.Random(chance.getrandbits(32))
         for identity, peer in core.group.progress.items():
             if identity in up:
-                peer.heard_ms = NOW_MS
+                peer.last_contact_ms = NOW_MS
     now_ms, before = NOW_MS, 0
     for tick in range(_TICKS):
         now_ms += _TICK_MS
--- a/libs/simulation/src/simulation/model/steps.py
+++ b/libs/simulation/src/simulation/model/steps.py
@@ -83,7 +83,7 @@
 
 def _silence(world, step):
     """The voter has not heard of its leader for an election's time."""
-    world.own(step.name).core.group.heard_ms = NOW_MS - ELECT_MS
+    world.own(step.name).core.group.last_contact_ms = NOW_MS - ELECT_MS
     _deliver(world, step)
 
 
@@ -110,7 +110,7 @@
     group = world.own(step.name).core.group
     if group.role == "leader":
         raise Skipped
-    group.elect_at_ms = NOW_MS
+    group.election_due_ms = NOW_MS
     world.handle(step.name, events.Tick())
 
 
@@ -130,9 +130,9 @@
 def _unheard(world, step):
     """The leader has heard of nobody for a while."""
     group = world.own(step.name).core.group
-    group.led_from_ms = _LONG_AGO_MS
+    group.leader_since_ms = _LONG_AGO_MS
     for other in group.progress.values():
-        other.heard_ms = _LONG_AGO_MS
+        other.last_contact_ms = _LONG_AGO_MS
     world.handle(step.name, events.Tick())
 
 
@@ -144,7 +144,7 @@
         raise Skipped
     for identity, other in group.progress.items():
         if other.name == gone.name and identity != gone.identity or identity == gone.identity:
-            other.heard_ms = _LONG_AGO_MS
+            other.last_contact_ms = _LONG_AGO_MS
     world.handle(step.name, events.Tick())
 
 
--- a/libs/simulation/src/simulation/model/storage.py
+++ b/libs/simulation/src/simulation/model/storage.py
@@ -13,7 +13,7 @@
 
 from replication import disk as disks
 from replication import segment_format
-from replication.group import Promise, read_snapshot_file
+from replication.group import PersistentState, read_snapshot_file
 from transport.codec import from_bytes
 
 __all__ = ["Slot", "Storage", "Untrusted", "read", "reread"]
@@ -149,7 +149,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def _promise(body):
-    return from_bytes(Promise, body)
+    return from_bytes(PersistentState, body)
 
 
 @dataclass(frozen=True)
@@ -191,7 +191,7 @@
         made.append(_Segment(number, data))
     try:
         return disks.load_entries(_Folder(tuple(made)), after, first)
-    except disks.DiskFailed as refused:
+    except disks.DiskError as refused:
         raise Untrusted(str(refused.failure)) from refused
 
 
--- a/libs/simulation/src/simulation/model/world.py
+++ b/libs/simulation/src/simulation/model/world.py
@@ -82,7 +82,7 @@
             raise Violation("disk-trusted", f"{replica.identity}: {refused}") from refused
         storage.opened(storage.view_index() + len(entries))
         groups.open_replica(group, storage.files, entries)
-        group.elect_at_ms = NOW_MS + 1.5 * ELECT_MS
+        group.election_due_ms = NOW_MS + 1.5 * ELECT_MS
         replica.core = depots.Depot(group, 1, self._card(replica, group))
         self.history.was = None
         self.history.look(self, replica)
@@ -243,6 +243,6 @@
     for replica in world.running():
         group = replica.core.group
         group.group, group.founders = "g", members
-        replica.storage.save("promise", groups.save_promise(group).body)
+        replica.storage.save("promise", groups.save_persistent_state(group).body)
         world.history.look(world, replica)
     return world
--- a/libs/simulation/src/simulation/restart_cost.py
+++ b/libs/simulation/src/simulation/restart_cost.py
@@ -86,7 +86,7 @@
         if not replica.group:
             replica.group = "g"
             replica.founders = (Member("d0", "d0", self._config.address),)
-            self.disk.write(replicas.save_promise(replica))
+            self.disk.write(replicas.save_persistent_state(replica))
         dialect = SimpleNamespace(reader=self._reader)
         life = f"d0.{self._now_ms}"
         self.node = nodes.make(self._config, life, 1, replica, dialect)
--- a/libs/simulation/src/simulation/sim/world.py
+++ b/libs/simulation/src/simulation/sim/world.py
@@ -104,7 +104,9 @@
         )
         after_index = groups.read_snapshot_file(files["view"])[0] if files.get("view") else 0
         groups.open_replica(group, files, disks.load(host.disk, after_index))
-        group.elect_at_ms = local(world, host) + group.times.elect_ms * (1 + world.random.random())
+        group.election_due_ms = local(world, host) + group.times.election_timeout_ms * (
+            1 + world.random.random()
+        )
     incarnation, seed = f"{host.name}.{host.life}", world.random.getrandbits(32)
     host.node = nodes.make(host.config, incarnation, seed, group, world.dialect)
     world.by_address[host.config.address] = host
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -15,7 +15,9 @@
 from transport.effects import Install, Send, Write
 from transport.events import Received, Tick, Written
 
-TIMES = replicas.Times(elect_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0)
+TIMES = replicas.Times(
+    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
+)
 NAMES = "abc"
 MOST_MESSAGE_BYTES = 2 << 20
 LARGE = 40 << 20
@@ -30,7 +32,7 @@
     replica = replicas.Replica(name, name, name, TIMES, random.Random(ord(name)))
     replica.group, replica.term = "g", 1
     replica.founders = tuple(m.Member(n, n, n) for n in NAMES)
-    replica.elect_at_ms = 1e12
+    replica.election_due_ms = 1e12
     card = m.Card(name, "depot", "z", name, name, name, name)
     return depots.Depot(replica, 2, card)
 
@@ -226,8 +228,8 @@
         group.heartbeat("a")
         self.assertIsNot(None, leader.pinned_snapshot)
         for _ in range(300):
-            leader.heard_ms = group.now_ms
-            leader.progress["c"].heard_ms = group.now_ms
+            leader.last_contact_ms = group.now_ms
+            leader.progress["c"].last_contact_ms = group.now_ms
             leader.progress["c"].next = 101
             group.heartbeat("a")
         self.assertThat(leader.pinned_snapshot, Equals(None))
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -34,7 +34,7 @@
             if card(n) != one.card:
                 one.cards[card(n).name] = card(n)
                 one.met_ms[card(n).name] = now_ms - 1e6
-                one.alive_ms[card(n).name] = one.heard_ms[card(n).name] = now_ms
+                one.alive_ms[card(n).name] = one.last_contact_ms[card(n).name] = now_ms
     told = greetings.greeting(found["10.0.0.0:1"], False, now_ms)
     for one in found.values():
         one.digests = {a: (told.digest, told.names) for a in found}
--- a/tests/test_disk_steps.py
+++ b/tests/test_disk_steps.py
@@ -80,4 +80,4 @@
         (path,) = self.folder.glob("promise.v*")
         newer = self.folder / "promise.v00000099"
         newer.write_bytes(path.read_bytes()[:6])
-        self.assertRaises(disks.DiskFailed, disks.Disk, self.folder, 1 << 20)
+        self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1 << 20)
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -27,7 +27,7 @@
         pushed, since_ms, longest_ms = 0, None, 0.0
         for turn in range(STEPS):
             feeding.now_ms += STEP_MS
-            node.heard_ms = feeding.now_ms
+            node.last_contact_ms = feeding.now_ms
             feeding.commit(1000 + turn, 10)
             since_ms = feeding.now_ms if since_ms is None else since_ms
             for effect in feed.push(group, feeding.depot.nodes, feeding.now_ms):
@@ -55,14 +55,14 @@
         the depots answer each round within 2 ms."""
         feeding = Feeding(10)
         replica, asks = feeding.depot.group, feeding.depot.asks
-        peer = replica.progress.setdefault("x", PeerProgress("x", "x", 1, heard_ms=0.0))
+        peer = replica.progress.setdefault("x", PeerProgress("x", "x", 1, last_contact_ms=0.0))
         members = {**groups.members(replica), "x": m.Member("x", "x", "x")}
         self.patch(groups, "members", lambda _: members)
         self.patch(log_replication, "members", lambda _: members)
         before, longest_ms, since = replica.round, 0.0, {}
         for turn in range(400):
             now_ms = 1000.0 + turn
-            peer.heard_ms = now_ms
+            peer.last_contact_ms = now_ms
             if turn % 2 == 0:
                 peer.round = replica.round
             effects = []
--- a/tests/test_logbook.py
+++ b/tests/test_logbook.py
@@ -92,7 +92,7 @@
         with open(self.segment(), "r+b") as out:
             out.seek(segment_format.BLOCK_BYTES + 60)
             out.write(b"rot")
-        failed = self.assertRaises(disks.DiskFailed, disks.Disk, self.folder, 1 << 20)
+        failed = self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1 << 20)
         self.assertIsInstance(failed.failure, failures.DiskUntrusted)
 
     def test_newer_term_wins_over_segments(self):
@@ -129,18 +129,18 @@
         self.assertThat(disk.loaded.files["promise"], Equals(b"two"))
         self.close(disk)
         (self.folder / "promise.v00000002").write_bytes(b"\0\0\0\0two")
-        failed = self.assertRaises(disks.DiskFailed, disks.Disk, self.folder, 1)
+        failed = self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1)
         self.assertThat(
             failed.failure, Equals(failures.DiskUntrusted("promise.v00000002", "checksum"))
         )
 
     def test_folder_in_use_or_not_a_folder(self):
         self.open()
-        failed = self.assertRaises(disks.DiskFailed, disks.Disk, self.folder, 1)
+        failed = self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1)
         self.assertIsInstance(failed.failure, failures.FolderInUse)
         path = self.folder / "file"
         path.write_bytes(b"")
-        failed = self.assertRaises(disks.DiskFailed, disks.Disk, path / "x", 1)
+        failed = self.assertRaises(disks.DiskError, disks.Disk, path / "x", 1)
         self.assertIsInstance(failed.failure, failures.FolderUnwritable)
 
     def test_two_writes_never_share_a_block(self):
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -19,7 +19,7 @@
 from transport.effects import Send, Write
 from transport.messages import Entry, Member, VoteReply, VoteRequest
 
-TIMES = groups.Times(elect_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0)
+TIMES = groups.Times(election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0)
 
 
 def entries(first, last):
@@ -91,7 +91,7 @@
         disk.write(Write(entries(4, 4), known=3))
         self.close(disk)
         os.truncate(self.segments()[1], 0)
-        self.assertRaises(disks.DiskFailed, self.open)
+        self.assertRaises(disks.DiskError, self.open)
 
 
 def depot(name, last, term):
@@ -123,7 +123,9 @@
         for ahead in range(1, 6):
             nodes = {"a": depot("a", 10, 2 + ahead), "b": depot("b", 12, 2)}
             now_ms = 0.0
-            while now_ms < 20 * TIMES.elect_ms and "leader" not in [n.role for n in nodes.values()]:
+            while now_ms < 20 * TIMES.election_timeout_ms and "leader" not in [
+                n.role for n in nodes.values()
+            ]:
                 for name, node in nodes.items():
                     self.deliver(nodes, now_ms, election.tick(node, now_ms), name)
                 now_ms += 20
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -26,7 +26,7 @@
         self.files, self.entries, self.writes = {}, [], []
 
     def promise(self):
-        return from_bytes(replicas.Promise, self.files["promise"])
+        return from_bytes(replicas.PersistentState, self.files["promise"])
 
     def install(self, effect):
         self.files["view"] = effect.body
@@ -56,8 +56,8 @@
         self.steps, self.cut_off, self.chunks = 0, None, 0
         for name in NAMES:
             depot = make_depot(name)
-            depot.group.elect_at_ms = self.rng.random() * 500
-            self.folders[name].files["promise"] = replicas.save_promise(depot.group).body
+            depot.group.election_due_ms = self.rng.random() * 500
+            self.folders[name].files["promise"] = replicas.save_persistent_state(depot.group).body
             self.depots[name] = depot
 
     def step(self):
@@ -120,7 +120,7 @@
             folder.sync(effect)
         folder.writes = []
         depot = make_depot(name)
-        depot.group.elect_at_ms = self.now_ms + 500 * (1 + self.rng.random())
+        depot.group.election_due_ms = self.now_ms + 500 * (1 + self.rng.random())
         replicas.open_replica(depot.group, folder.files, folder.read())
         self.depots[name] = depot
 
