--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -11,7 +11,7 @@
 from marshmallow import RAISE, Schema, ValidationError, fields, validate, validates_schema
 from placement import state as dispatching
 from quotas import terms as quota_terms
-from replication.group import Times
+from replication.group import GroupSettings
 from routing import router
 from transport import failures
 
@@ -193,7 +193,7 @@
 
 def times(config):
     back_ms = config.bounds.serviceBackMs
-    return Times(
+    return GroupSettings(
         election_timeout_ms=0.04 * back_ms,
         heartbeat_ms=0.01 * back_ms,
         ping_ms=0.02 * back_ms,
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -154,9 +154,9 @@
             n: {
                 "role": s.role,
                 "address": s.address,
-                "place": s.place,
+                "place": s.position,
                 "silentMs": round(now_ms - s.last_contact_ms),
             }
-            for n, s in sorted(depot.nodes.seen.items())
+            for n, s in sorted(depot.nodes.contacts.items())
         },
     }
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -169,7 +169,7 @@
 
 def _ask(node, now_ms):
     """Ping the log node; when it is silent, ask around, and ask fellows too."""
-    if now_ms - node.follow.asked_ms < node.times.ping_ms:
+    if now_ms - node.follow.requested_ms < node.times.ping_ms:
         return []
     to = leader_of(node)
     silent = now_ms - max(node.follow.direct_ms, node.learned_ms) > 2 * node.times.ping_ms
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -93,7 +93,7 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.election_due_ms = _now() + _FIRST_ELECT * group.times.election_timeout_ms * (
+        group.election_due_ms = _now() + _FIRST_ELECT * group.settings.election_timeout_ms * (
             1 + random.random()
         )
         return disk, group
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -90,7 +90,7 @@
     for kept in ownership.owners.values():
         held = kept.held
         if not held.ready:
-            if leader and now_ms - held.asked_ms > times.ping_ms:
+            if leader and now_ms - held.requested_ms > times.ping_ms:
                 effects += shard_log.recover(held, now_ms, card, leader)
             continue
         shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -113,10 +113,10 @@
 
 def write_due(replica, writer, now_ms):
     """Cut a batch if one is due now; returns its effects."""
-    if not writer.serving or not writer.staged or len(writer.flights) >= replica.times.in_flight:
+    if not writer.serving or not writer.staged or len(writer.flights) >= replica.settings.in_flight:
         return []
-    fast = not writer.flights and writer.last_write_ms <= replica.times.inline_ms
-    if not fast and replica.times.group_wait and now_ms < _hold_until(writer, now_ms):
+    fast = not writer.flights and writer.last_write_ms <= replica.settings.inline_ms
+    if not fast and replica.settings.group_wait and now_ms < _hold_until(writer, now_ms):
         return []
     taken, size = [], 0
     while writer.staged and size < _MAX_BATCH_BYTES:
@@ -146,7 +146,7 @@
 
 def wake_at(replica, writer, now_ms):
     """When `write_due` wants to be asked again, if a batch is being held."""
-    if writer.serving and writer.staged and len(writer.flights) < replica.times.in_flight:
+    if writer.serving and writer.staged and len(writer.flights) < replica.settings.in_flight:
         return max(now_ms, _hold_until(writer, now_ms))
     return None
 
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -13,7 +13,7 @@
 
 from replication.group import last_index, save_persistent_state
 
-__all__ = ["Bootstrap", "tick", "on_ask", "on_agree"]
+__all__ = ["Bootstrap", "tick", "on_request", "on_reply"]
 
 
 @dataclass
@@ -21,7 +21,7 @@
     group: str = ""
     members: tuple = ()
     agreed: set = field(default_factory=set)
-    asked_ms: float = -1e9
+    requested_ms: float = -1e9
 
 
 def _empties(replica, cards):
@@ -45,19 +45,19 @@
     was heard of, if any."""
     if replica.group and (last_index(replica) or not replica.founders or replica.leader):
         return []
-    if not replica.group and not replica.times.founds:
+    if not replica.group and not replica.settings.founds:
         return []
     if not replica.group:
-        empties = _empties(replica, cards)[: replica.times.depots]
-        if len(empties) < replica.times.depots or empties[0].identity != replica.identity:
+        empties = _empties(replica, cards)[: replica.settings.depots]
+        if len(empties) < replica.settings.depots or empties[0].identity != replica.identity:
             return []
         if bootstrap.members != empties:
             bootstrap.group, bootstrap.members, bootstrap.agreed = _name(empties), empties, set()
         if known not in ("", bootstrap.group):
             return []
-    if now_ms - bootstrap.asked_ms < replica.times.election_timeout_ms / 2:
+    if now_ms - bootstrap.requested_ms < replica.settings.election_timeout_ms / 2:
         return []
-    bootstrap.asked_ms = now_ms
+    bootstrap.requested_ms = now_ms
     ask = (
         BootstrapRequest(replica.group, replica.founders)
         if replica.group
@@ -66,15 +66,15 @@
     return [Send(m.address, ask) for m in ask.members if m.identity != replica.identity]
 
 
-def on_ask(replica, bootstrap, now_ms, sender, ask, known):
+def on_request(replica, bootstrap, now_ms, sender, ask, known):
     if replica.identity not in {m.identity for m in ask.members}:
         return []
     effects = []
     if (
         not replica.group
-        and replica.times.founds
+        and replica.settings.founds
         and known in ("", ask.group)
-        and (len(ask.members) == replica.times.depots)
+        and (len(ask.members) == replica.settings.depots)
     ):
         effects = _adopt(replica, now_ms, ask.group, ask.members)
     agreed = replica.group == ask.group
@@ -83,11 +83,13 @@
 
 def _adopt(replica, now_ms, group, founders):
     replica.group, replica.founders = group, founders
-    replica.election_due_ms = now_ms + replica.times.election_timeout_ms * replica.random.random()
+    replica.election_due_ms = (
+        now_ms + replica.settings.election_timeout_ms * replica.random.random()
+    )
     return [save_persistent_state(replica), Note("founds", {"group": group})]
 
 
-def on_agree(replica, bootstrap, now_ms, answer):
+def on_reply(replica, bootstrap, now_ms, answer):
     if replica.group or answer.group != bootstrap.group:
         return []
     if answer.agreed:
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -38,8 +38,8 @@
     card: m.Card
     writer: batch_writer.BatchWriter = field(default_factory=batch_writer.BatchWriter)
     nodes: leases.NodeTable = field(default_factory=leases.NodeTable)
-    asks: feed.Asks = field(default_factory=feed.Asks)
-    founder: bootstrap.Bootstrap = field(default_factory=bootstrap.Bootstrap)
+    feed_requests: feed.PendingRequests = field(default_factory=feed.PendingRequests)
+    founding: bootstrap.Bootstrap = field(default_factory=bootstrap.Bootstrap)
     leave: leaving.Leave | None = None
 
 
@@ -65,8 +65,8 @@
 
 def _tick(depot, now_ms, cards, known):
     replica = depot.group
-    leases.excuse_freeze(replica, depot.nodes, now_ms)
-    effects = bootstrap.tick(replica, depot.founder, now_ms, cards, known)
+    leases.discount_pause(replica, depot.nodes, now_ms)
+    effects = bootstrap.tick(replica, depot.founding, now_ms, cards, known)
     effects += election.tick(replica, now_ms)
     if replica.role == "leader":
         leaving.watch(replica, now_ms)
@@ -95,9 +95,9 @@
     if isinstance(message, m.TransferLeadership):
         return election.on_transfer_leadership(replica, now_ms, message)
     if isinstance(message, m.BootstrapRequest):
-        return bootstrap.on_ask(replica, depot.founder, now_ms, sender, message, known)
+        return bootstrap.on_request(replica, depot.founding, now_ms, sender, message, known)
     if isinstance(message, m.BootstrapReply):
-        return bootstrap.on_agree(replica, depot.founder, now_ms, message)
+        return bootstrap.on_reply(replica, depot.founding, now_ms, message)
     if isinstance(message, m.LeaveRequest):
         return leaving.on_request(replica, now_ms, sender, message)
     if isinstance(message, m.LeaveReply):
@@ -125,10 +125,10 @@
     if not writer.serving:
         return [Send(sender, m.Greet(depot.card, False, (), group_card(replica)))]
     if isinstance(message, m.Ask):
-        leases.heard(nodes, now_ms, message)
-        return feed.on_ask(replica, nodes, depot.asks, now_ms, sender, message)
+        leases.record_contact(nodes, now_ms, message)
+        return feed.on_request(replica, nodes, depot.feed_requests, now_ms, sender, message)
     if isinstance(message, m.Append):
-        seen = nodes.seen.get(message.name)
+        seen = nodes.contacts.get(message.name)
         if seen and seen.incarnation == message.incarnation:
             seen.last_contact_ms = now_ms
         return batch_writer.stage(replica, writer, now_ms, sender, message.section)
@@ -146,7 +146,7 @@
             depot.writer = batch_writer.BatchWriter(
                 batches=depot.writer.batches, records=depot.writer.records
             )
-            depot.asks = feed.Asks()
+            depot.feed_requests = feed.PendingRequests()
             replica.feed_retains = None
             depot.nodes = leases.NodeTable(tick_ms=depot.nodes.tick_ms)
     elif not depot.writer.serving and replica.commit >= replica.term_index:
@@ -155,7 +155,7 @@
     if depot.writer.serving:
         effects += batch_writer.settle(replica, depot.writer, now_ms)
         effects += feed.push(replica, depot.nodes, now_ms)
-        effects += feed.answer(replica, depot.asks, now_ms)
+        effects += feed.answer_requests(replica, depot.feed_requests, now_ms)
         effects += batch_writer.write_due(replica, depot.writer, now_ms)
         at = batch_writer.wake_at(replica, depot.writer, now_ms)
         if at is not None:
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -38,7 +38,7 @@
 
 
 def reset_election_timer(replica, now_ms):
-    replica.election_due_ms = now_ms + replica.times.election_timeout_ms * (
+    replica.election_due_ms = now_ms + replica.settings.election_timeout_ms * (
         1 + replica.random.random()
     )
 
@@ -75,7 +75,8 @@
 def _stalled(replica, now_ms):
     """Whether a write of ours has been out for longer than an election."""
     return (
-        bool(replica.writes) and now_ms - replica.writes[0][3] > replica.times.election_timeout_ms
+        bool(replica.writes)
+        and now_ms - replica.writes[0][3] > replica.settings.election_timeout_ms
     )
 
 
@@ -84,11 +85,11 @@
     heard = 1 + sum(
         1
         for i, o in replica.progress.items()
-        if i in voters and now_ms - o.last_contact_ms < 1.5 * replica.times.election_timeout_ms
+        if i in voters and now_ms - o.last_contact_ms < 1.5 * replica.settings.election_timeout_ms
     )
     if (
         heard < majority(replica)
-        and now_ms - replica.leader_since_ms > 1.5 * replica.times.election_timeout_ms
+        and now_ms - replica.leader_since_ms > 1.5 * replica.settings.election_timeout_ms
     ):
         return step_down(replica, replica.term, now_ms) + [
             Note("majority-silent", {"term": replica.term}),
@@ -101,7 +102,7 @@
         ] + transfer_leadership(replica, now_ms)
     effects = []
     for peer in replica.progress.values():
-        if now_ms - peer.sent_ms >= replica.times.heartbeat_ms:
+        if now_ms - peer.sent_ms >= replica.settings.heartbeat_ms:
             effects += log_replication.send_to(replica, peer, now_ms)
     return effects
 
@@ -117,7 +118,7 @@
         best = replica.progress.get(heir, most)
         effects.append(Send(best.address, TransferLeadership(replica.term)))
     effects += step_down(replica, replica.term, now_ms)
-    replica.election_due_ms = now_ms + 3 * replica.times.election_timeout_ms
+    replica.election_due_ms = now_ms + 3 * replica.settings.election_timeout_ms
     return effects
 
 
@@ -183,7 +184,7 @@
     if identity != replica.last_leader:
         return now_ms
     return max(
-        replica.last_contact_ms, now_ms - _SILENT_ELECTIONS * replica.times.election_timeout_ms
+        replica.last_contact_ms, now_ms - _SILENT_ELECTIONS * replica.settings.election_timeout_ms
     )
 
 
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -14,7 +14,7 @@
 from replication import entry_batch, feed_snapshots, log_replication
 from replication.group import entry_at
 
-__all__ = ["Asks", "on_ask", "answer", "push"]
+__all__ = ["PendingRequests", "on_request", "answer_requests", "push"]
 
 _PER_SEND = 128
 # Of the time between two heartbeats: how long a node that holds nothing waits for more news,
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Asks:
+class PendingRequests:
     """(sender, Ask, the round that answers it) of each that waits, and when a round for them
     last began."""
 
@@ -35,9 +35,9 @@
     round_ms: float = float("-inf")
 
 
-def on_ask(replica, nodes, asks, now_ms, sender, ask):
+def on_request(replica, nodes, asks, now_ms, sender, ask):
     """Queue the ask behind a new round, and send what the asker lacks."""
-    node = nodes.seen[ask.name]
+    node = nodes.contacts[ask.name]
     _learn_place(replica, node, now_ms, ask.place)
     asks.waiting.append((sender, ask, replica.round + 1))
     effects = _begin_round(replica, asks, now_ms)
@@ -53,21 +53,21 @@
     """What was sent before a node's last ask and isn't there by now was lost on the way,
     unless it is so much that a slow link may still be at it."""
     node.in_flight = [f for f in node.in_flight if f[0] > place]
-    if place > node.asked_place or not node.in_flight:
-        node.moved_ms = now_ms
-    node.asked_place = place
+    if place > node.requested_position or not node.in_flight:
+        node.last_progress_ms = now_ms
+    node.requested_position = place
     patience_ms = _under_way(node) / _SLOWEST_BYTES_PER_MS
-    if place < node.sent_at_ask and now_ms - node.moved_ms >= patience_ms:
-        node.sent_place, node.in_flight = place, []
-    node.sent_place = max(node.sent_place, place)
-    node.sent_at_ask = node.sent_place
+    if place < node.sent_at_request and now_ms - node.last_progress_ms >= patience_ms:
+        node.sent_position, node.in_flight = place, []
+    node.sent_position = max(node.sent_position, place)
+    node.sent_at_request = node.sent_position
 
 
 def _under_way(node):
     return sum(size for _, size in node.in_flight)
 
 
-def answer(replica, asks, now_ms):
+def answer_requests(replica, asks, now_ms):
     """Answer asks whose round is confirmed; start another if some wait on."""
     round_ = log_replication.confirmed_round(replica)
     ready = [a for a in asks.waiting if a[2] <= round_]
@@ -80,7 +80,7 @@
         begun = _begin_round(replica, asks, now_ms)
         effects += begun
         if len(replica.progress) == 0 and round_ < replica.round:
-            effects += answer(replica, asks, now_ms)
+            effects += answer_requests(replica, asks, now_ms)
     return effects
 
 
@@ -89,7 +89,7 @@
     nodes ask all the time, and one round answers all that asked before it."""
     if log_replication.confirmed_round(replica) < replica.round:
         return []
-    due_ms = asks.round_ms + _PACE * replica.times.heartbeat_ms
+    due_ms = asks.round_ms + _PACE * replica.settings.heartbeat_ms
     if replica.progress and now_ms < due_ms:
         return [Wake(due_ms)]
     asks.round_ms = now_ms
@@ -101,31 +101,33 @@
     that may hold a shard, to the others no more often than `_PACE` allows, since hundreds
     of them would each be woken by every batch.  What is held back goes with a later call,
     at the latest that of the next tick."""
-    times = replica.times
+    settings = replica.settings
     return [
         effect
-        for node in nodes.seen.values()
-        if node.sent_place < replica.commit
-        and now_ms - node.last_contact_ms < 3 * times.ping_ms
-        and (node.role == times.placers or now_ms - node.sent_ms >= _PACE * times.heartbeat_ms)
+        for node in nodes.contacts.values()
+        if node.sent_position < replica.commit
+        and now_ms - node.last_contact_ms < 3 * settings.ping_ms
+        and (
+            node.role == settings.placers or now_ms - node.sent_ms >= _PACE * settings.heartbeat_ms
+        )
         for effect in push_to(replica, nodes, node, now_ms)
     ]
 
 
 def push_to(replica, nodes, node, now_ms):
-    if node.sent_place >= replica.commit or node.transfer:
+    if node.sent_position >= replica.commit or node.transfer:
         return []
     node.sent_ms = now_ms
-    if node.sent_place < replica.base_index:
+    if node.sent_position < replica.base_index:
         return feed_snapshots.start(replica, nodes, node, now_ms)
     if _under_way(node) >= _WINDOW_BYTES:
         return []
-    entries, size = _due(replica, node.sent_place + 1)
+    entries, size = _due(replica, node.sent_position + 1)
     if not node.in_flight:
-        node.moved_ms = now_ms
-    node.sent_place = entries[-1].index
-    node.in_flight.append((node.sent_place, size))
-    return [Send(node.address, FeedItems(replica.term, node.sent_place, entries))]
+        node.last_progress_ms = now_ms
+    node.sent_position = entries[-1].index
+    node.in_flight.append((node.sent_position, size))
+    return [Send(node.address, FeedItems(replica.term, node.sent_position, entries))]
 
 
 def _due(replica, first):
--- a/libs/replication/src/replication/feed_snapshots.py
+++ b/libs/replication/src/replication/feed_snapshots.py
@@ -19,7 +19,7 @@
 def start(replica, nodes, node, now_ms):
     """Begin to send a follower the state, unless too many are at it."""
     _drop_silent(replica, nodes, now_ms)
-    if sum(n.transfer is not None for n in nodes.seen.values()) >= _AT_ONCE:
+    if sum(n.transfer is not None for n in nodes.contacts.values()) >= _AT_ONCE:
         return []
     node.transfer = snapshot_transfer.Outgoing(_pinned(replica, nodes))
     _retain(replica, nodes)
@@ -27,8 +27,11 @@
 
 
 def _drop_silent(replica, nodes, now_ms):
-    for node in nodes.seen.values():
-        if node.transfer and now_ms - node.last_contact_ms > _SILENT_PINGS * replica.times.ping_ms:
+    for node in nodes.contacts.values():
+        if (
+            node.transfer
+            and now_ms - node.last_contact_ms > _SILENT_PINGS * replica.settings.ping_ms
+        ):
             node.transfer = None
 
 
@@ -52,7 +55,7 @@
 
 def _retain(replica, nodes):
     """Have the log keep what follows the snapshots under way."""
-    sending = [n.transfer for n in nodes.seen.values() if n.transfer]
+    sending = [n.transfer for n in nodes.contacts.values() if n.transfer]
     replica.feed_retains = min((t.snapshot.id.index for t in sending), default=None)
     if not sending:
         nodes.pinned_snapshot = None
@@ -70,11 +73,11 @@
 
 def on_chunk_reply(replica, nodes, reply):
     """A follower told how much it holds: send what is due now."""
-    node = nodes.seen.get(reply.name)
+    node = nodes.contacts.get(reply.name)
     if node is None or node.transfer is None:
         return []
     if snapshot_transfer.on_ack(node.transfer, reply.ack):
-        node.sent_place = max(node.sent_place, reply.ack.snapshot.index)
+        node.sent_position = max(node.sent_position, reply.ack.snapshot.index)
         finish(replica, nodes, node)
         return []
     return _messages(replica, node, snapshot_transfer.chunks_due(node.transfer))
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -67,7 +67,7 @@
     marks: list = field(default_factory=list)
     current_ms: float = -1e12
     direct_ms: float = -1e12
-    asked_ms: float = -1e12
+    requested_ms: float = -1e12
     relays: list = field(default_factory=list)
 
 
@@ -80,7 +80,7 @@
 
 
 def ask(follow, now_ms, card, to):
-    follow.asked_ms = now_ms
+    follow.requested_ms = now_ms
     return Send(
         to,
         Ask(
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "Replica",
-    "Times",
+    "GroupSettings",
     "PeerProgress",
     "PersistentState",
     "term_at",
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Times:
+class GroupSettings:
     """All in ms, ratios of the bounds in config (see pulleyhitch.config)."""
 
     election_timeout_ms: float
@@ -93,7 +93,7 @@
     name: str
     identity: str
     address: str
-    times: Times
+    settings: GroupSettings
     random: random.Random
     group: str = ""
     term: int = 0
@@ -188,7 +188,9 @@
 
 
 def leader_live(replica, now_ms):
-    return replica.leader and now_ms - replica.last_contact_ms < replica.times.election_timeout_ms
+    return (
+        replica.leader and now_ms - replica.last_contact_ms < replica.settings.election_timeout_ms
+    )
 
 
 def group_card(replica):
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -15,25 +15,33 @@
 
 from replication import batch_writer, snapshot_transfer, state_machine
 
-__all__ = ["NodeTable", "Seen", "heard", "lease_tick", "on_release", "on_recover", "excuse_freeze"]
+__all__ = [
+    "NodeTable",
+    "NodeContact",
+    "record_contact",
+    "lease_tick",
+    "on_release",
+    "on_recover",
+    "discount_pause",
+]
 
 
 @dataclass
-class Seen:
+class NodeContact:
     address: str
     incarnation: str
     role: str
     last_contact_ms: float
-    place: int = 0
+    position: int = 0
     answered_ms: float = -1.0
-    took_ms: float = 0.0
-    sent_place: int = 0
-    sent_at_ask: int = 0
+    last_received_ms: float = 0.0
+    sent_position: int = 0
+    sent_at_request: int = 0
     sent_ms: float = -1e9
     transfer: snapshot_transfer.Outgoing | None = None
     in_flight: list = field(default_factory=list)
-    asked_place: int = 0
-    moved_ms: float = -1e9
+    requested_position: int = 0
+    last_progress_ms: float = -1e9
 
 
 @dataclass
@@ -46,15 +54,15 @@
 
 @dataclass
 class NodeTable:
-    seen: dict = field(default_factory=dict)
+    contacts: dict = field(default_factory=dict)
     pinned_snapshot: snapshot_transfer.Snapshot | None = None
     tick_ms: float = -1.0
 
 
-def heard(nodes, now_ms, ask):
-    old = nodes.seen.get(ask.name)
+def record_contact(nodes, now_ms, ask):
+    old = nodes.contacts.get(ask.name)
     if old is None or old.incarnation != ask.incarnation:
-        nodes.seen[ask.name] = Seen(
+        nodes.contacts[ask.name] = NodeContact(
             ask.address,
             ask.incarnation,
             ask.role,
@@ -62,44 +70,46 @@
             ask.place,
             ask.answered_ms,
             now_ms,
-            sent_place=ask.place,
+            sent_position=ask.place,
         )
         return
-    old.last_contact_ms, old.address, old.place = now_ms, ask.address, ask.place
+    old.last_contact_ms, old.address, old.position = now_ms, ask.address, ask.place
     old.role = ask.role
     if ask.answered_ms > old.answered_ms:
-        old.answered_ms, old.took_ms = ask.answered_ms, now_ms
+        old.answered_ms, old.last_received_ms = ask.answered_ms, now_ms
 
 
-def excuse_freeze(replica, nodes, now_ms):
+def discount_pause(replica, nodes, now_ms):
     """If we did not run for a while, shift what we judge silence by."""
     gap_ms = now_ms - nodes.tick_ms if nodes.tick_ms >= 0 else 0.0
-    if gap_ms > 2 * replica.times.heartbeat_ms:
-        for node in nodes.seen.values():
+    if gap_ms > 2 * replica.settings.heartbeat_ms:
+        for node in nodes.contacts.values():
             node.last_contact_ms += gap_ms
-            node.took_ms += gap_ms
+            node.last_received_ms += gap_ms
     nodes.tick_ms = now_ms
 
 
 def _live(replica, nodes, now_ms):
     return [
         name
-        for name, s in sorted(nodes.seen.items())
-        if s.role == replica.times.placers
-        and now_ms - s.last_contact_ms < 2.5 * replica.times.ping_ms
-        and now_ms - s.took_ms < 5 * replica.times.ping_ms
+        for name, s in sorted(nodes.contacts.items())
+        if s.role == replica.settings.placers
+        and now_ms - s.last_contact_ms < 2.5 * replica.settings.ping_ms
+        and now_ms - s.last_received_ms < 5 * replica.settings.ping_ms
     ]
 
 
 def _vacant(replica, nodes, now_ms, part):
     if not part.holder:
         return True
-    holder = nodes.seen.get(part.holder)
+    holder = nodes.contacts.get(part.holder)
     if holder is None:
-        return now_ms - replica.leader_since_ms > replica.times.revoke_ms
-    if holder.incarnation != part.incarnation or holder.role != replica.times.placers:
+        return now_ms - replica.leader_since_ms > replica.settings.revoke_ms
+    if holder.incarnation != part.incarnation or holder.role != replica.settings.placers:
         return True
-    return now_ms - min(holder.last_contact_ms, holder.took_ms) > replica.times.revoke_ms
+    return (
+        now_ms - min(holder.last_contact_ms, holder.last_received_ms) > replica.settings.revoke_ms
+    )
 
 
 def _held_by(replica, nodes, now_ms):
@@ -123,7 +133,7 @@
 
 
 def lease_tick(replica, writer, nodes, now_ms, shards):
-    if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.times.ping_ms:
+    if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.settings.ping_ms:
         return []
     effects, held = [], _held_by(replica, nodes, now_ms)
     for shard in range(shards):
@@ -140,7 +150,9 @@
 def _lease(replica, writer, nodes, shard, name):
     part = state_machine.shard_of(replica.state, shard)
     flying = [p.position for f in writer.flights for p in f.places if p.shard == shard]
-    section = state_machine.lease_section(shard, part.epoch + 1, name, nodes.seen[name].incarnation)
+    section = state_machine.lease_section(
+        shard, part.epoch + 1, name, nodes.contacts[name].incarnation
+    )
     batch_writer.stage_own(writer, section)
     writer.next[shard] = max(flying + [part.next - 1]) + 1
     return [Note("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -35,7 +35,7 @@
 
     since_ms: float
     until_ms: float
-    asked_ms: float = -1e12
+    requested_ms: float = -1e12
     done: bool = False
 
 
@@ -48,13 +48,13 @@
     """
 
     began_ms: float
-    asked_ms: float = -1e12
+    requested_ms: float = -1e12
     set_aside_at: int | None = None
     released: bool = False
 
 
 def begin(replica, now_ms):
-    return Leave(now_ms, now_ms + replica.times.leave_ms)
+    return Leave(now_ms, now_ms + replica.settings.leave_ms)
 
 
 def tick(replica, leave, now_ms):
@@ -67,9 +67,9 @@
         return election.transfer_leadership(replica, now_ms) + _end(leave, "time is up")
     if replica.role == "leader":
         return _as_leader(replica, leave, now_ms)
-    if now_ms - leave.asked_ms < replica.times.heartbeat_ms / 2:
+    if now_ms - leave.requested_ms < replica.settings.heartbeat_ms / 2:
         return []
-    leave.asked_ms = now_ms
+    leave.requested_ms = now_ms
     request = LeaveRequest(replica.group, replica.identity)
     others = [m.address for i, m in sorted(members(replica).items()) if i != replica.identity]
     known = [replica.leader_address] if replica.leader_address else others
@@ -80,13 +80,13 @@
     """Wait for a successor that is in sight (the leader adds it), then hand over.  Right
     after an election nobody has had the time to be in sight, or to tell that it leaves."""
     replica.departures.setdefault(replica.identity, Departure(now_ms))
-    voters, wanted = members(replica), replica.times.depots
+    voters, wanted = members(replica), replica.settings.depots
     patient = now_ms < leave.since_ms + _HAND_OVER_BY * (leave.until_ms - leave.since_ms)
     if patient and len(voters) <= wanted and _successor_in_sight(replica, now_ms):
         return []
     if len(voters) == 1:
         return _end(leave, "no other member")
-    if patient and now_ms - replica.leader_since_ms < replica.times.election_timeout_ms:
+    if patient and now_ms - replica.leader_since_ms < replica.settings.election_timeout_ms:
         return []
     if replica.member_entries and patient:
         return []
@@ -136,7 +136,7 @@
         removed = LeaveReply(replica.group, identity, True)
         return [] if replica.member_entries else [Send(sender, removed)]
     departure = replica.departures.setdefault(identity, Departure(now_ms))
-    departure.asked_ms = now_ms
+    departure.requested_ms = now_ms
     _set_aside(replica, now_ms, identity, departure)
     if _to_be_replaced(replica, now_ms):
         return []
@@ -151,7 +151,8 @@
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
         back = (
-            peer and peer.last_contact_ms > departure.asked_ms + replica.times.election_timeout_ms
+            peer
+            and peer.last_contact_ms > departure.requested_ms + replica.settings.election_timeout_ms
         )
         if identity not in members(replica) or (back and identity != replica.identity):
             del replica.departures[identity]
@@ -201,7 +202,9 @@
     if identity == replica.identity:
         return replica.synced >= index
     peer = replica.progress.get(identity)
-    heard = peer is not None and now_ms - peer.last_contact_ms < replica.times.election_timeout_ms
+    heard = (
+        peer is not None and now_ms - peer.last_contact_ms < replica.settings.election_timeout_ms
+    )
     return heard and 0 < peer.match >= index
 
 
@@ -217,13 +220,13 @@
 
 def _to_be_replaced(replica, now_ms):
     """Whether a successor may yet come, or has come and the leaver's removal is due."""
-    surplus = len(members(replica)) > replica.times.depots
+    surplus = len(members(replica)) > replica.settings.depots
     return surplus or bool(replica.member_entries) or _successor_in_sight(replica, now_ms)
 
 
 def learner_leaves(replica, peer):
     """Whether a learner asked to leave, and hasn't come back since; it was told that it may."""
-    return peer.last_contact_ms <= peer.leaves_ms + replica.times.election_timeout_ms
+    return peer.last_contact_ms <= peer.leaves_ms + replica.settings.election_timeout_ms
 
 
 def _successor_in_sight(replica, now_ms):
@@ -232,6 +235,6 @@
         peer.learner
         and identity not in replica.departures
         and not learner_leaves(replica, peer)
-        and now_ms - peer.last_contact_ms < replica.times.election_timeout_ms
+        and now_ms - peer.last_contact_ms < replica.settings.election_timeout_ms
         for identity, peer in replica.progress.items()
     )
--- a/libs/replication/src/replication/log_compaction.py
+++ b/libs/replication/src/replication/log_compaction.py
@@ -15,7 +15,7 @@
 
 def trim(replica):
     """Take a snapshot once enough was logged since the last, and drop what it covers."""
-    least = min(max(replica.times.keep_bytes, replica.snapshot_bytes), _RETAINED_BYTES)
+    least = min(max(replica.settings.keep_bytes, replica.snapshot_bytes), _RETAINED_BYTES)
     if replica.bytes_since_snapshot < least or replica.commit <= replica.snapshot_index:
         return []
     body = snapshot_file(replica)
@@ -35,7 +35,7 @@
     size, keep = 0, replica.commit
     while keep > replica.base_index:
         size += len(entry_at(replica, keep).body)
-        near = replica.commit - keep < _KEPT_ENTRIES and size <= replica.times.keep_bytes
+        near = replica.commit - keep < _KEPT_ENTRIES and size <= replica.settings.keep_bytes
         wanted = needed is not None and keep > needed and size <= _RETAINED_BYTES
         if not near and not wanted:
             break
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -107,7 +107,10 @@
     peer.sent_ms = now_ms
     to = _identity_of(replica, peer)
     lacks_entries = peer.next <= replica.base_index
-    if lacks_entries and now_ms - peer.last_contact_ms < _SILENT_REVOKES * replica.times.revoke_ms:
+    if (
+        lacks_entries
+        and now_ms - peer.last_contact_ms < _SILENT_REVOKES * replica.settings.revoke_ms
+    ):
         return snapshot_sending.messages_due(replica, peer, to)
     if peer.transfer is not None:
         snapshot_sending.finish(replica, peer)
@@ -180,7 +183,7 @@
     All that was under way gets the same answer; only the first of them counts, or each
     would have the same entries sent again."""
     again = (
-        index == peer.rewound_to and now_ms - peer.rewound_ms < replica.times.election_timeout_ms
+        index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_timeout_ms
     )
     if again and peer.next > index + 1:
         return []
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -65,7 +65,7 @@
     peer = replica.progress.get(identity)
     return (
         peer is not None
-        and now_ms - peer.last_contact_ms < elections * replica.times.election_timeout_ms
+        and now_ms - peer.last_contact_ms < elections * replica.settings.election_timeout_ms
     )
 
 
@@ -86,7 +86,7 @@
         and identity not in replica.departures
         and not leaving.learner_leaves(replica, peer)
         and _heard(replica, now_ms, identity)
-        and catch_up.caught_up(peer.catch_up, now_ms, replica.times.election_timeout_ms)
+        and catch_up.caught_up(peer.catch_up, now_ms, replica.settings.election_timeout_ms)
     ]
     return sorted(ready, key=lambda i: (crowded[depots[i].zone], depots[i].name, i))
 
@@ -94,7 +94,7 @@
 def _shrink(replica, now_ms):
     """More voters than there should be: one whose place was taken goes."""
     voters = members(replica)
-    if len(voters) <= replica.times.depots:
+    if len(voters) <= replica.settings.depots:
         return []
     departing = [i for i in sorted(voters) if i in replica.departures]
     return _remove_first(replica, now_ms, departing + _lost(replica, now_ms, voters, set()))
@@ -104,7 +104,7 @@
     """Fewer voters than there should be: the best successor is added."""
     voters = members(replica)
     successors = _successors(replica, now_ms, depots)
-    if len(voters) >= replica.times.depots or not successors:
+    if len(voters) >= replica.settings.depots or not successors:
         return []
     return _add(replica, now_ms, depots[successors[0]])
 
@@ -113,7 +113,7 @@
     """A full group: a successor takes the place of who leaves, or was lost."""
     voters = members(replica)
     successors = _successors(replica, now_ms, depots)
-    if len(voters) != replica.times.depots or not successors:
+    if len(voters) != replica.settings.depots or not successors:
         return []
     departing = [i for i in sorted(voters) if i in replica.departures]
     if any(_heard(replica, now_ms, identity) for identity in departing):
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -53,7 +53,7 @@
     ready: bool = False
     released: bool = False
     refused_term: int = -1
-    asked_ms: float = -1e12
+    requested_ms: float = -1e12
     checkpoint_at: int = 0
     checkpoint: bytes = b""
     records: list = field(default_factory=list)
@@ -79,7 +79,7 @@
 
 
 def recover(log, now_ms, card, to):
-    log.asked_ms = now_ms
+    log.requested_ms = now_ms
     return [Send(to, RecoverAsk(log.shard, log.epoch, card.address, 0))]
 
 
--- a/libs/replication/src/replication/snapshot_transfer.py
+++ b/libs/replication/src/replication/snapshot_transfer.py
@@ -106,7 +106,7 @@
 
     snapshot: SnapshotId | None = None
     body: bytearray = field(default_factory=bytearray)
-    moved_ms: float = -1e12
+    last_progress_ms: float = -1e12
 
 
 def on_chunk(incoming, chunk, now_ms, patience_ms=0.0):
@@ -117,14 +117,14 @@
     if chunk.snapshot.size > LIMIT_BYTES:
         return None, None
     if chunk.snapshot != incoming.snapshot:
-        if incoming.snapshot is not None and now_ms - incoming.moved_ms < patience_ms:
+        if incoming.snapshot is not None and now_ms - incoming.last_progress_ms < patience_ms:
             return None, None
         incoming.snapshot, incoming.body = chunk.snapshot, bytearray()
-        incoming.moved_ms = now_ms
+        incoming.last_progress_ms = now_ms
     room = chunk.snapshot.size - len(incoming.body)
     if chunk.body and chunk.offset == len(incoming.body) and len(chunk.body) <= room:
         incoming.body += chunk.body
-        incoming.moved_ms = now_ms
+        incoming.last_progress_ms = now_ms
     whole = _whole(incoming)
     return ChunkAck(chunk.snapshot, chunk.sequence, len(incoming.body)), whole
 
--- a/libs/simulation/src/simulation/measure.py
+++ b/libs/simulation/src/simulation/measure.py
@@ -92,7 +92,7 @@
             held = self._held.get(shard)
             if part.holder == "driver" and held is None:
                 held = self._held[shard] = shard_log.ShardLog(shard, part.epoch)
-            if held and not held.ready and now_ms - held.asked_ms > 500:
+            if held and not held.ready and now_ms - held.requested_ms > 500:
                 self._out(shard_log.recover(held, now_ms, self._card, self._leader))
         return sum(h.ready for h in self._held.values()) == 8
 
--- a/libs/simulation/src/simulation/model/forks.py
+++ b/libs/simulation/src/simulation/model/forks.py
@@ -26,7 +26,7 @@
 _LEFT_OUT = frozenset(
     {
         "state",
-        "times",
+        "settings",
         "random",
         "round_sent_ms",
         "batches",
--- a/libs/simulation/src/simulation/model/machine.py
+++ b/libs/simulation/src/simulation/model/machine.py
@@ -40,7 +40,7 @@
     reread: bool = True
 
     def times(self, first=True):
-        return groups.Times(
+        return groups.GroupSettings(
             election_timeout_ms=ELECT_MS,
             heartbeat_ms=120.0,
             ping_ms=240.0,
--- a/libs/simulation/src/simulation/model/mutants.py
+++ b/libs/simulation/src/simulation/model/mutants.py
@@ -124,7 +124,7 @@
         "one-group",
         [
             (bootstrap, "tick", variants.founds(bootstrap.tick)),
-            (bootstrap, "on_ask", variants.founds(bootstrap.on_ask)),
+            (bootstrap, "on_request", variants.founds(bootstrap.on_request)),
         ],
         script="two_groups",
     ),
--- a/libs/simulation/src/simulation/model/steps.py
+++ b/libs/simulation/src/simulation/model/steps.py
@@ -115,7 +115,7 @@
 
 
 def _ask(world, step):
-    world.own(step.name).core.founder.asked_ms = -1e9
+    world.own(step.name).core.founding.requested_ms = -1e9
     world.handle(step.name, events.Tick())
 
 
@@ -153,7 +153,7 @@
     world.handle(step.name, events.Closing())
     core = world.replicas[step.name].core
     if core is not None and core.leave is not None:
-        core.leave.asked_ms = _LONG_AGO_MS
+        core.leave.requested_ms = _LONG_AGO_MS
         world.handle(step.name, events.Tick())
 
 
--- a/libs/simulation/src/simulation/model/variants.py
+++ b/libs/simulation/src/simulation/model/variants.py
@@ -136,11 +136,14 @@
     """An empty machine founds a group whenever it meets enough others."""
 
     def broken(replica, *more):
-        kept, replica.times = replica.times, dataclasses.replace(replica.times, founds=True)
+        kept, replica.settings = (
+            replica.settings,
+            dataclasses.replace(replica.settings, founds=True),
+        )
         try:
             return handler(replica, *more)
         finally:
-            replica.times = kept
+            replica.settings = kept
 
     return broken
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -15,7 +15,7 @@
 from transport.effects import Install, Send, Write
 from transport.events import Received, Tick, Written
 
-TIMES = replicas.Times(
+TIMES = replicas.GroupSettings(
     election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
 )
 NAMES = "abc"
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -23,7 +23,7 @@
             "d0",
             "id0",
             "a",
-            groups.Times(**TIMES, group_wait=group_wait, depots=1),
+            groups.GroupSettings(**TIMES, group_wait=group_wait, depots=1),
             random.Random(1),
             group="g",
             term=1,
@@ -133,7 +133,7 @@
         table.do(batch_writer.write_due(table.g, table.d, 0.0))
         staged = Section(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         table.do(batch_writer.stage(table.g, table.d, 0.0, "old", staged))
-        nodes = leases.NodeTable(seen={"new": leases.Seen("n", "n.1", "counter", 0.0)})
+        nodes = leases.NodeTable(contacts={"new": leases.NodeContact("n", "n.1", "counter", 0.0)})
         leases._lease(table.g, table.d, nodes, 1, "new")
         self.assertThat([s.kind for s in table.d.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(table.g, table.d, 0.0, "old", staged)[0].message
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -19,11 +19,11 @@
         committed every few ms; the follower is a router."""
         feeding = Feeding(1000)
         group = feeding.depot.group
-        group.times = type(group.times)(**{**vars(group.times), "placers": placers})
+        group.settings = type(group.settings)(**{**vars(group.settings), "placers": placers})
         feeding.follow.place = group.commit
         ask = follower.ask(feeding.follow, 0.0, feeding.card, "a")
         depots._receive(feeding.depot, 0.0, "f", ask.message, "g")
-        node = feeding.depot.nodes.seen["f"]
+        node = feeding.depot.nodes.contacts["f"]
         pushed, since_ms, longest_ms = 0, None, 0.0
         for turn in range(STEPS):
             feeding.now_ms += STEP_MS
@@ -35,8 +35,8 @@
                 pushed, since_ms = pushed + 1, None
             if since_ms is not None:
                 longest_ms = max(longest_ms, feeding.now_ms - since_ms)
-        self.assertThat(node.sent_place >= group.commit - 20, Equals(True))
-        return pushed, longest_ms, group.times.heartbeat_ms
+        self.assertThat(node.sent_position >= group.commit - 20, Equals(True))
+        return pushed, longest_ms, group.settings.heartbeat_ms
 
     def test_a_node_that_may_hold_shards_is_told_at_once(self):
         self.assertThat(self.fed("counter")[:2], Equals((STEPS, 0.0)))
@@ -54,7 +54,7 @@
         """(rounds begun, the longest that an ask waited) while one comes every few ms and
         the depots answer each round within 2 ms."""
         feeding = Feeding(10)
-        replica, asks = feeding.depot.group, feeding.depot.asks
+        replica, requests = feeding.depot.group, feeding.depot.feed_requests
         peer = replica.progress.setdefault("x", PeerProgress("x", "x", 1, last_contact_ms=0.0))
         members = {**groups.members(replica), "x": m.Member("x", "x", "x")}
         self.patch(groups, "members", lambda _: members)
@@ -70,12 +70,12 @@
                 ask = follower.ask(feeding.follow, now_ms, feeding.card, "a").message
                 since[ask.sent_ms] = now_ms
                 effects += depots._receive(feeding.depot, now_ms, "f", ask, "g")
-            effects += feed.answer(replica, asks, now_ms)
+            effects += feed.answer_requests(replica, requests, now_ms)
             for effect in effects:
                 if isinstance(getattr(effect, "message", None), m.Mark):
                     asked_ms = since.pop(effect.message.sent_ms)
                     longest_ms = max(longest_ms, now_ms - asked_ms)
-        return replica.round - before, longest_ms, replica.times.heartbeat_ms
+        return replica.round - before, longest_ms, replica.settings.heartbeat_ms
 
     def test_few_rounds_however_many_ask(self):
         rounds, longest_ms, heartbeat_ms = self.asked(every_ms=1)
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -112,7 +112,9 @@
     def test_entries_are_bounded_by_bytes(self):
         feeding = Feeding(1000)
         feeding.ping()
-        feeding.depot.group.times = replicas.Times(480.0, 120.0, 240.0, 3000.0, keep_bytes=64 << 20)
+        feeding.depot.group.settings = replicas.GroupSettings(
+            480.0, 120.0, 240.0, 3000.0, keep_bytes=64 << 20
+        )
         feeding.passes = lambda message: False
         for number in range(2, 42):
             feeding.commit(number, 1 << 20)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -174,7 +174,7 @@
     worlds.spin(made.world, made.world.now_ms + 800.0)
     host = made.world.hosts[leaver]
     replica = replica_of(made, leaver)
-    replica.times = dataclasses.replace(replica.times, leave_ms=4800.0)
+    replica.settings = dataclasses.replace(replica.settings, leave_ms=4800.0)
     harm.terminate(made, leaver)
     worlds.spin(made.world, made.world.now_ms + 1500.0)
     assert host.node is not None and made.leader() is not None
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -36,7 +36,9 @@
 )
 from transport.replication_messages import SnapshotPart
 
-TIMES = groups.Times(election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=1800.0)
+TIMES = groups.GroupSettings(
+    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=1800.0
+)
 HANDLERS = {
     VoteRequest: lambda r, now, sender, m: election.on_vote_request(r, now, sender, m),
     VoteReply: lambda r, now, sender, m: election.on_vote_reply(r, now, m),
@@ -440,7 +442,7 @@
         acked(leader, name, 2, now_ms)
         ask_to_leave(leader, name, now_ms)
     assert leaving.tick(leader, leave, now_ms) == []
-    late_ms = 10.0 + 0.6 * leader.times.leave_ms
+    late_ms = 10.0 + 0.6 * leader.settings.leave_ms
     for name in "bc":
         acked(leader, name, 2, late_ms)
         ask_to_leave(leader, name, late_ms)
@@ -551,7 +553,7 @@
     c and d are lost; were b, which leaves, removed now, a and e would be no majority."""
     cards = {n: depot_card(n) for n in "abe"}
     leader = leader_of("abcde", [members_entry(1, 1, "abcde")])
-    leader.times = dataclasses.replace(TIMES, depots=4)
+    leader.settings = dataclasses.replace(TIMES, depots=4)
     ask_to_leave(leader, "b", 0.0)
     for name in "be":
         acked(leader, name, 2, 10.0)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -19,7 +19,9 @@
 from transport.effects import Send, Write
 from transport.messages import Entry, Member, VoteReply, VoteRequest
 
-TIMES = groups.Times(election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0)
+TIMES = groups.GroupSettings(
+    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
+)
 
 
 def entries(first, last):
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -163,14 +163,14 @@
 class Promises(TestCase):
     def test_whatever_is_lost(self):
         """Snapshots are taken after few bytes, so that some members are sent one."""
-        times = replicas.Times(**{**vars(TIMES), "keep_bytes": 2000})
+        times = replicas.GroupSettings(**{**vars(TIMES), "keep_bytes": 2000})
         self.patch(log_compaction, "_KEPT_ENTRIES", 2)
         chunks = 0
         for seed in range(6):
             walk = Walk(self, seed)
             for _ in range(STEPS):
                 for depot in walk.depots.values():
-                    depot.group.times = times
+                    depot.group.settings = times
                 walk.step()
             chunks += walk.chunks
             self.assertThat(walk.leads, GreaterThan(0), f"seed {seed}")
