--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -17,7 +17,7 @@
     """One confirmed read; `what` names the part."""
     what, name = body.get("what", "layout"), body.get("name", "")
     reg = node.floor.registry
-    head = {"stamp": reg.stamp, "place": node.follow.place}
+    head = {"stamp": reg.stamp, "place": node.follow.position}
     if what == "layout":
         return {
             **head,
@@ -96,7 +96,7 @@
         "node": node.card.name,
         "role": node.card.role,
         "zone": node.card.zone,
-        "place": node.follow.place,
+        "place": node.follow.position,
         "term": node.follow.term,
         "ageMs": round(min(follows.age(node.follow, now_ms), 1e9)),
         "leader": node.peers.group.leader,
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -50,7 +50,7 @@
     card: m.Card
     config: configs.Config
     peers: peer_table.PeerTable
-    follow: follows.Follow
+    follow: follows.FeedFollower
     floor: floors.Floor
     owners: shard_ownership.ShardOwnership
     router: router.Router
@@ -89,7 +89,7 @@
         peer_table.PeerTable(
             card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
         ),
-        follows.Follow(),
+        follows.FeedFollower(),
         floors.Floor(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing(config)),
@@ -185,10 +185,12 @@
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
-                    follows.ask(node.follow, now_ms, operator_requests.asker(node), card.address)
+                    follows.make_request(
+                        node.follow, now_ms, operator_requests.asker(node), card.address
+                    )
                 )
     if to:
-        effects.append(follows.ask(node.follow, now_ms, operator_requests.asker(node), to))
+        effects.append(follows.make_request(node.follow, now_ms, operator_requests.asker(node), to))
     return effects
 
 
@@ -221,10 +223,10 @@
         return effects
     if isinstance(message, m.Mark):
         follows.on_mark(node.follow, message)
-        return follows.relay(node.follow, now_ms) + operator_requests.current(node, now_ms)
+        return follows.answer_relays(node.follow, now_ms) + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedItems):
         effects = _news(node, now_ms, follows.on_items(node.follow, message))
-        effects += follows.relay(node.follow, now_ms)
+        effects += follows.answer_relays(node.follow, now_ms)
         return effects + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedChunk):
         effects, news = follows.on_chunk(node.follow, now_ms, node.card.name, sender, message)
@@ -234,7 +236,7 @@
         return follows.on_chunk_reply(node.follow, now_ms, sender, message)
     if isinstance(message, m.Ask):
         if node.depot is None:
-            return follows.on_relay_ask(node.follow, now_ms, sender, message)
+            return follows.on_relay_request(node.follow, now_ms, sender, message)
         return []
     if isinstance(message, m.Durable):
         return shard_ownership.on_durable(
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -90,7 +90,7 @@
     end_ms = command_forwarding.answer_by(node, now_ms)
     node.operator.reads.append(PendingRead(token, body, now_ms, end_ms))
     leader = node.peers.group.leader
-    return [follows.ask(node.follow, now_ms, asker(node), leader)] if leader else []
+    return [follows.make_request(node.follow, now_ms, asker(node), leader)] if leader else []
 
 
 def _abandoned(node, now_ms, token, body):
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -24,17 +24,17 @@
 from replication import entry_batch, snapshot_transfer, state_machine
 
 __all__ = [
-    "Follow",
-    "News",
-    "ask",
+    "FeedFollower",
+    "FeedUpdate",
+    "make_request",
     "on_chunk",
     "on_chunk_reply",
     "on_items",
     "on_snapshot",
     "on_mark",
     "age",
-    "on_relay_ask",
-    "relay",
+    "on_relay_request",
+    "answer_relays",
 ]
 
 _RECENT = 512
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class Relayed:
+class RelayTransfer:
     """Our state on its way to a peer, and when that was last heard of."""
 
     outgoing: snapshot_transfer.Outgoing
@@ -55,32 +55,32 @@
 
 
 @dataclass
-class Follow:
-    place: int = 0
+class FeedFollower:
+    position: int = 0
     term: int = 0
     snapshot_term: int = 0
     state: state_machine.StateMachine = field(default_factory=state_machine.StateMachine)
     recent: deque = field(default_factory=deque)
     recent_bytes: int = 0
     incoming: snapshot_transfer.Incoming = field(default_factory=snapshot_transfer.Incoming)
-    relayed: dict = field(default_factory=dict)
+    relay_transfers: dict = field(default_factory=dict)
     marks: list = field(default_factory=list)
     current_ms: float = -1e12
     direct_ms: float = -1e12
     requested_ms: float = -1e12
-    relays: list = field(default_factory=list)
+    relay_requests: list = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class News:
+class FeedUpdate:
     """Sections that counted, in order; or `rebuilt` when a snapshot replaced all."""
 
     sections: tuple = ()
     rebuilt: bool = False
 
 
-def ask(follow, now_ms, card, to):
-    follow.requested_ms = now_ms
+def make_request(follower, now_ms, card, to):
+    follower.requested_ms = now_ms
     return Send(
         to,
         Ask(
@@ -89,148 +89,148 @@
             card.incarnation,
             card.role,
             now_ms,
-            follow.place,
-            max(-1.0, follow.direct_ms),
+            follower.position,
+            max(-1.0, follower.direct_ms),
         ),
     )
 
 
-def age(follow, now_ms):
-    return now_ms - follow.current_ms
+def age(follower, now_ms):
+    return now_ms - follower.current_ms
 
 
-def on_items(follow, message):
+def on_items(follower, message):
     sections = []
     for entry in message.entries:
-        if entry.index != follow.place + 1:
+        if entry.index != follower.position + 1:
             continue
-        sections += state_machine.apply_body(follow.state, entry.body, entry.index)
-        follow.place = entry.index
-        _remember(follow, entry)
-    _settle(follow)
-    return News(tuple(sections))
+        sections += state_machine.apply_body(follower.state, entry.body, entry.index)
+        follower.position = entry.index
+        _remember(follower, entry)
+    _settle(follower)
+    return FeedUpdate(tuple(sections))
 
 
-def _remember(follow, entry):
+def _remember(follower, entry):
     """Keep the newest entries for peers who ask, within some bytes."""
-    follow.recent.append(entry)
-    follow.recent_bytes += len(entry.body)
-    while len(follow.recent) > _RECENT or follow.recent_bytes > _RECENT_BYTES:
-        follow.recent_bytes -= len(follow.recent.popleft().body)
+    follower.recent.append(entry)
+    follower.recent_bytes += len(entry.body)
+    while len(follower.recent) > _RECENT or follower.recent_bytes > _RECENT_BYTES:
+        follower.recent_bytes -= len(follower.recent.popleft().body)
 
 
-def on_chunk(follow, now_ms, name, sender, message):
-    """Take a chunk of the state: (effects, News)."""
+def on_chunk(follower, now_ms, name, sender, message):
+    """Take a chunk of the state: (effects, FeedUpdate)."""
     chunk = message.chunk
-    if _reached(follow, chunk.snapshot.index):
+    if _already_applied(follower, chunk.snapshot.index):
         ack = ChunkAck(chunk.snapshot, chunk.sequence, chunk.snapshot.size)
-        return [Send(sender, FeedChunkReply(name, ack))], News()
-    ack, whole = snapshot_transfer.on_chunk(follow.incoming, chunk, now_ms, _PATIENCE_MS)
+        return [Send(sender, FeedChunkReply(name, ack))], FeedUpdate()
+    ack, whole = snapshot_transfer.on_chunk(follower.incoming, chunk, now_ms, _PATIENCE_MS)
     effects = [Send(sender, FeedChunkReply(name, ack))] if ack else []
     if whole is None:
-        return effects, News()
-    follow.incoming = snapshot_transfer.Incoming()
+        return effects, FeedUpdate()
+    follower.incoming = snapshot_transfer.Incoming()
     snapshot = FeedSnapshot(message.term, chunk.snapshot.index, chunk.snapshot.term, whole)
-    return effects, on_snapshot(follow, snapshot)
+    return effects, on_snapshot(follower, snapshot)
 
 
-def _reached(follow, place):
-    return place <= follow.place
+def _already_applied(follower, place):
+    return place <= follower.position
 
 
-def on_snapshot(follow, message):
-    if _reached(follow, message.place):
-        return News()
-    follow.state, follow.place = state_machine.restore(message.body), message.place
-    follow.snapshot_term = message.snapshot_term
-    follow.recent.clear()
-    follow.recent_bytes = 0
-    _settle(follow)
-    return News(rebuilt=True)
+def on_snapshot(follower, message):
+    if _already_applied(follower, message.place):
+        return FeedUpdate()
+    follower.state, follower.position = state_machine.restore(message.body), message.place
+    follower.snapshot_term = message.snapshot_term
+    follower.recent.clear()
+    follower.recent_bytes = 0
+    _settle(follower)
+    return FeedUpdate(rebuilt=True)
 
 
-def on_mark(follow, mark):
-    follow.term = max(follow.term, mark.term)
+def on_mark(follower, mark):
+    follower.term = max(follower.term, mark.term)
     if mark.direct:
-        follow.direct_ms = max(follow.direct_ms, mark.sent_ms)
-    follow.marks.append((mark.sent_ms, mark.place))
-    _settle(follow)
+        follower.direct_ms = max(follower.direct_ms, mark.sent_ms)
+    follower.marks.append((mark.sent_ms, mark.place))
+    _settle(follower)
 
 
-def _settle(follow):
-    reached = [sent_ms for sent_ms, place in follow.marks if place <= follow.place]
+def _settle(follower):
+    reached = [sent_ms for sent_ms, place in follower.marks if place <= follower.position]
     if reached:
-        follow.current_ms = max(follow.current_ms, *reached)
-    follow.marks = [m for m in follow.marks if m[1] > follow.place and m[0] > follow.current_ms][
-        -64:
-    ]
+        follower.current_ms = max(follower.current_ms, *reached)
+    follower.marks = [
+        m for m in follower.marks if m[1] > follower.position and m[0] > follower.current_ms
+    ][-64:]
 
 
-def on_relay_ask(follow, now_ms, sender, message):
+def on_relay_request(follower, now_ms, sender, message):
     """A peer without the log node asks us: answer once we know better."""
-    follow.relays = [r for r in follow.relays if r[0] != sender][-32:]
-    follow.relays.append((sender, message, now_ms))
+    follower.relay_requests = [r for r in follower.relay_requests if r[0] != sender][-32:]
+    follower.relay_requests.append((sender, message, now_ms))
     return []
 
 
-def relay(follow, now_ms):
+def answer_relays(follower, now_ms):
     """Answer the peers whose question is older than our newest mark."""
     effects = []
-    for sender, asked, at_ms in follow.relays:
-        if follow.current_ms < at_ms:
+    for sender, asked, at_ms in follower.relay_requests:
+        if follower.current_ms < at_ms:
             continue
-        if asked.place < follow.place:
-            effects += _catch_up(follow, now_ms, sender, asked.place)
-        effects.append(Send(sender, Mark(asked.sent_ms, follow.term, follow.place, False)))
-    follow.relays = [r for r in follow.relays if follow.current_ms < r[2]]
+        if asked.place < follower.position:
+            effects += _catch_up(follower, now_ms, sender, asked.place)
+        effects.append(Send(sender, Mark(asked.sent_ms, follower.term, follower.position, False)))
+    follower.relay_requests = [r for r in follower.relay_requests if follower.current_ms < r[2]]
     return effects
 
 
-def _catch_up(follow, now_ms, sender, place):
+def _catch_up(follower, now_ms, sender, place):
     """What a peer at `place` lacks: entries, or the state if we don't have them all."""
-    if follow.recent and follow.recent[0].index <= place + 1:
-        follow.relayed.pop(sender, None)
-        due = (entry for entry in follow.recent if entry.index > place)
+    if follower.recent and follower.recent[0].index <= place + 1:
+        follower.relay_transfers.pop(sender, None)
+        due = (entry for entry in follower.recent if entry.index > place)
         entries, _ = entry_batch.up_to_bytes(due, _BYTES_PER_SEND)
-        return [Send(sender, FeedItems(follow.term, entries[-1].index, entries))]
-    _drop_old(follow, now_ms)
-    relayed = follow.relayed.get(sender)
+        return [Send(sender, FeedItems(follower.term, entries[-1].index, entries))]
+    _drop_old(follower, now_ms)
+    relayed = follower.relay_transfers.get(sender)
     if relayed is None or relayed.outgoing.snapshot.id.index <= place:
-        if relayed is None and len(follow.relayed) >= _RELAYS_AT_ONCE:
+        if relayed is None and len(follower.relay_transfers) >= _RELAYS_AT_ONCE:
             return []
-        relayed = Relayed(snapshot_transfer.Outgoing(_state(follow)))
-        follow.relayed[sender] = relayed
+        relayed = RelayTransfer(snapshot_transfer.Outgoing(_state(follower)))
+        follower.relay_transfers[sender] = relayed
     relayed.last_contact_ms = now_ms
     chunks = snapshot_transfer.chunks_due(relayed.outgoing)
     chunks = chunks or [snapshot_transfer.probe(relayed.outgoing)]
-    return [Send(sender, FeedChunk(follow.term, chunk)) for chunk in chunks]
+    return [Send(sender, FeedChunk(follower.term, chunk)) for chunk in chunks]
 
 
-def _drop_old(follow, now_ms):
-    for sender, relayed in list(follow.relayed.items()):
+def _drop_old(follower, now_ms):
+    for sender, relayed in list(follower.relay_transfers.items()):
         if now_ms - relayed.last_contact_ms > _RELAY_MS:
-            del follow.relayed[sender]
+            del follower.relay_transfers[sender]
 
 
-def _state(follow):
+def _state(follower):
     """Our state as a snapshot; one that is on its way to another peer, if it is new
     enough for the entries that we keep to follow on it."""
-    oldest = follow.recent[0].index if follow.recent else follow.place + 1
-    for relayed in follow.relayed.values():
+    oldest = follower.recent[0].index if follower.recent else follower.position + 1
+    for relayed in follower.relay_transfers.values():
         if relayed.outgoing.snapshot.id.index >= oldest - 1:
             return relayed.outgoing.snapshot
-    body = state_machine.snapshot(follow.state)
-    return snapshot_transfer.make_snapshot(follow.place, follow.snapshot_term, body)
+    body = state_machine.snapshot(follower.state)
+    return snapshot_transfer.make_snapshot(follower.position, follower.snapshot_term, body)
 
 
-def on_chunk_reply(follow, now_ms, sender, reply):
+def on_chunk_reply(follower, now_ms, sender, reply):
     """A peer told how much of our state it holds: send what is due now."""
-    relayed = follow.relayed.get(sender)
+    relayed = follower.relay_transfers.get(sender)
     if relayed is None:
         return []
     relayed.last_contact_ms = now_ms
     if snapshot_transfer.on_ack(relayed.outgoing, reply.ack):
-        del follow.relayed[sender]
+        del follower.relay_transfers[sender]
         return []
     chunks = snapshot_transfer.chunks_due(relayed.outgoing)
-    return [Send(sender, FeedChunk(follow.term, chunk)) for chunk in chunks]
+    return [Send(sender, FeedChunk(follower.term, chunk)) for chunk in chunks]
--- a/libs/simulation/src/simulation/breaking.py
+++ b/libs/simulation/src/simulation/breaking.py
@@ -68,7 +68,7 @@
 def older(follow, now_ms, sender, place):
     """A fellow hands on a state from before its own."""
     body = state_machine.snapshot(follow.state)
-    snapshot = snapshot_transfer.make_snapshot(follow.place - 1, 0, body)
+    snapshot = snapshot_transfer.make_snapshot(follow.position - 1, 0, body)
     chunk = Chunk(snapshot.id, 1, 0, body)
     return [Send(sender, FeedChunk(follow.term, chunk))]
 
--- a/libs/simulation/src/simulation/measure.py
+++ b/libs/simulation/src/simulation/measure.py
@@ -65,7 +65,7 @@
             2000,
         )
         self._leader = fleet.address[_leader(fleet)]
-        self._follow = follower.Follow()
+        self._follow = follower.FeedFollower()
         self._held = {}
 
     def run(self, shards, seconds):
@@ -75,7 +75,7 @@
             now_ms = time.monotonic() * 1000
             if now_ms - asked_ms > 200:
                 asked_ms = now_ms
-                ask = follower.ask(self._follow, now_ms, self._card, self._leader)
+                ask = follower.make_request(self._follow, now_ms, self._card, self._leader)
                 self._pipes.send(ask.to, ask.message)
             try:
                 done += self._take(self._got.get(timeout=0.05), shards)
--- a/libs/simulation/src/simulation/mutants_of_control.py
+++ b/libs/simulation/src/simulation/mutants_of_control.py
@@ -44,7 +44,7 @@
         "never-back",
         lambda d: [step(2000, "cut-one-way", f"c{i}", 6000) for i in (0, 1)],
         lambda: [
-            (follower, "_reached", breaking.never_reached),
+            (follower, "_already_applied", breaking.never_reached),
             (follower, "_catch_up", breaking.older),
         ],
     ),
--- a/libs/simulation/src/simulation/restart_cost.py
+++ b/libs/simulation/src/simulation/restart_cost.py
@@ -141,7 +141,7 @@
 
     def restart(self):
         """Stop, start, and wait until the newest change is known; what it took."""
-        self.until(lambda: self.node.follow.place == self.node.depot.group.commit)
+        self.until(lambda: self.node.follow.position == self.node.depot.group.commit)
         edition = self.node.floor.registry.document["edition"]
         self.stop()
         folder_bytes = sum(p.stat().st_size for p in Path(self._folder).iterdir())
--- a/libs/simulation/src/simulation/sim/operators.py
+++ b/libs/simulation/src/simulation/sim/operators.py
@@ -227,7 +227,7 @@
             if any(then[0] == "order" for _, then in held.waiting):
                 self.ordering.pop(shard)(host.name)
                 return
-        key, now = (host.name, host.life), (node.floor.registry.stamp, node.follow.place)
+        key, now = (host.name, host.life), (node.floor.registry.stamp, node.follow.position)
         last = self.stamps.get(key, (0, 0))
         if now[0] < last[0] or now[1] < last[1]:
             self.history.wrong.append(
@@ -261,6 +261,6 @@
         floors.on_news(
             floor_,
             self.world.hosts[leader].node.depot.group.state,
-            follower.News(rebuilt=True),
+            follower.FeedUpdate(rebuilt=True),
         )
         return floor_.registry.changes
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -69,7 +69,7 @@
         self.node = SimpleNamespace(
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
-            follow=follower.Follow(current_ms=NOW_MS - age_ms),
+            follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
             floor=floors.Floor(SHARDS, registry=registry),
             router=router.Router(TERMS),
             times=SimpleNamespace(election_timeout_ms=300.0),
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engines_noticed.py
@@ -11,7 +11,7 @@
 from placement import ledger as ledgers
 from placement import world
 from replication import state_machine
-from replication.follower import News
+from replication.follower import FeedUpdate
 from routing import choice, router
 from routing.choice import Crew
 
@@ -109,7 +109,7 @@
         now_ms = 250.0 * number
         if kind == "news":
             sections = tuple(_Section(shard, record) for shard, record in told)
-            floors.on_news(floor, None, News(sections))
+            floors.on_news(floor, None, FeedUpdate(sections))
         elif kind == "broke":
             choice.broke(sparing, now_ms, told)
             choice.broke(looking, now_ms, told)
@@ -126,9 +126,9 @@
     floor, crew = new_floor(), Crew("c", ("c",))
     sparing, looking = router.Router(TERMS), router.Router(TERMS)
     announced = tuple(_Section(*engine_record(name, "join", "models", 0)) for name in NAMES)
-    floors.on_news(floor, None, News(announced))
+    floors.on_news(floor, None, FeedUpdate(announced))
     for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *taken]):
-        floors.on_news(floor, None, News((_Section(*told),)))
+        floors.on_news(floor, None, FeedUpdate((_Section(*told),)))
         if looks:
             looking.noticed_changes = -1
             router.wake(sparing, 250.0 * number, floor, 0.0, crew)
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -20,8 +20,8 @@
         feeding = Feeding(1000)
         group = feeding.depot.group
         group.settings = type(group.settings)(**{**vars(group.settings), "placers": placers})
-        feeding.follow.place = group.commit
-        ask = follower.ask(feeding.follow, 0.0, feeding.card, "a")
+        feeding.follow.position = group.commit
+        ask = follower.make_request(feeding.follow, 0.0, feeding.card, "a")
         depots._receive(feeding.depot, 0.0, "f", ask.message, "g")
         node = feeding.depot.nodes.contacts["f"]
         pushed, since_ms, longest_ms = 0, None, 0.0
@@ -67,7 +67,7 @@
                 peer.round = replica.round
             effects = []
             if turn % every_ms == 0:
-                ask = follower.ask(feeding.follow, now_ms, feeding.card, "a").message
+                ask = follower.make_request(feeding.follow, now_ms, feeding.card, "a").message
                 since[ask.sent_ms] = now_ms
                 effects += depots._receive(feeding.depot, now_ms, "f", ask, "g")
             effects += feed.answer_requests(replica, requests, now_ms)
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -35,7 +35,7 @@
         self.depot.writer.serving = True
         self.depot.group.progress = {}
         self.depot.group.founders = (m.Member("a", "a", "a"),)
-        self.follow = follower.Follow()
+        self.follow = follower.FeedFollower()
         self.card = m.Card("f", "counter", "z", "f", "f", "f.1")
         self.now_ms, self.passes = 0.0, lambda message: True
         self.largest = self.chunk_bytes = self.item_bytes = self.rebuilt = 0
@@ -50,7 +50,7 @@
 
     def ping(self):
         self.now_ms += 240.0
-        ask = follower.ask(self.follow, self.now_ms, self.card, "a")
+        ask = follower.make_request(self.follow, self.now_ms, self.card, "a")
         queue = [ask]
         while queue:
             effect = queue.pop(0)
@@ -89,7 +89,7 @@
     def test_a_large_state_comes_whole(self):
         feeding = Feeding(40 << 20)
         feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(100))
+        self.assertThat(feeding.follow.position, Equals(100))
         self.assertThat(feeding.follow.state, Equals(feeding.depot.group.state))
         self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
 
@@ -105,7 +105,7 @@
         left[0] = 1 << 30
         for _ in range(12):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(158))
+        self.assertThat(feeding.follow.position, Equals(158))
         self.assertThat(feeding.rebuilt, Equals(1))
         self.assertThat(feeding.chunk_bytes, LessThan(6 << 20))
 
@@ -121,7 +121,7 @@
         feeding.passes = lambda message: True
         for _ in range(60):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(140))
+        self.assertThat(feeding.follow.position, Equals(140))
         self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
 
     def test_what_is_on_its_way_is_not_sent_again(self):
@@ -139,14 +139,14 @@
         feeding.passes = lambda message: True
         for _ in range(30):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(120))
+        self.assertThat(feeding.follow.position, Equals(120))
 
     def test_many_that_start_at_once_take_turns(self):
         feeding = Feeding()
         cards = [m.Card(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
         sent = 0
         for card in cards:
-            ask = follower.ask(follower.Follow(), 0.0, card, "a").message
+            ask = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
             found = depots._receive(feeding.depot, 0.0, card.address, ask, "g")
             sent += sum(isinstance(e.message, m.FeedChunk) for e in found)
         self.assertThat(sent, LessThan(20))
@@ -156,16 +156,16 @@
 
 class Fellows(TestCase):
     def test_a_fellow_hands_on_a_large_state(self):
-        ahead, behind = follower.Follow(), follower.Follow()
+        ahead, behind = follower.FeedFollower(), follower.FeedFollower()
         feeding = Feeding()
         feeding.follow = ahead
         feeding.ping()
         now_ms, largest = 10_000.0, 0
         ahead.current_ms = now_ms + 1
         card = m.Card("g", "counter", "z", "g", "g", "g.1")
-        ask = follower.ask(behind, now_ms, card, "f").message
-        follower.on_relay_ask(ahead, now_ms, "g", ask)
-        queue = follower.relay(ahead, now_ms)
+        ask = follower.make_request(behind, now_ms, card, "f").message
+        follower.on_relay_request(ahead, now_ms, "g", ask)
+        queue = follower.answer_relays(ahead, now_ms)
         while queue:
             effect = queue.pop(0)
             largest = max(largest, len(frames.pack(effect.message)))
@@ -173,13 +173,13 @@
                 queue += follower.on_chunk(behind, now_ms, "g", "f", effect.message)[0]
             elif isinstance(effect.message, m.FeedChunkReply):
                 queue += follower.on_chunk_reply(ahead, now_ms, "g", effect.message)
-        self.assertThat(behind.place, Equals(100))
+        self.assertThat(behind.position, Equals(100))
         self.assertThat(behind.state, Equals(ahead.state))
         self.assertThat(largest, LessThan(MOST_MESSAGE_BYTES))
-        self.assertThat(ahead.relayed, Equals({}))
+        self.assertThat(ahead.relay_transfers, Equals({}))
 
     def test_what_a_fellow_keeps_is_bounded_by_bytes(self):
-        follow = follower.Follow()
+        follow = follower.FeedFollower()
         for index in range(1, 200):
             entry = m.Entry(index, 1, batch(1, index, bytes(200_000)))
             follower.on_items(follow, m.FeedItems(1, index, (entry,)))
--- a/tests/test_register_times.py
+++ b/tests/test_register_times.py
@@ -6,7 +6,7 @@
 from adapter.dialect import DIALECT
 from pulleyhitch import config as configs
 from pulleyhitch import shard_ownership
-from replication.follower import Follow
+from replication.follower import FeedFollower
 from simulation import platform_made as made
 from simulation.register.cluster import BOUNDS, ZONES, Cluster
 from simulation.register.operators import Operators
@@ -66,7 +66,8 @@
             cluster = Cluster(1, DIALECT, bounds=bounds)
             times = configs.times(cluster.world.hosts["d0"].config)
             self.assertThat(
-                shard_ownership.lease_end(Follow(direct_ms=0.0), times), LessThan(times.revoke_ms)
+                shard_ownership.lease_end(FeedFollower(direct_ms=0.0), times),
+                LessThan(times.revoke_ms),
             )
             longest_ms = 2 * times.election_timeout_ms + times.revoke_ms + 2 * times.ping_ms
             self.assertThat(longest_ms, LessThan(float(bounds["acknowledgeMs"])))
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -218,7 +218,7 @@
     def test_operators_read_fingerprints(self):
         node = TenantNode({"a": tenant("secret-key"), "b": tenant()}).node
         node.card, node.config.shards = None, SHARDS
-        node.follow.place = 1
+        node.follow.position = 1
         for what in ("layout", "engines", "zones", "why", "holds"):
             found = json.dumps(introspection.read(node, NOW_MS, {"what": what}))
             self.assertThat("secret" in found, Equals(False), what)
