--- a/libs/membership/src/membership/greetings.py
+++ b/libs/membership/src/membership/greetings.py
@@ -42,7 +42,7 @@
         _silence(peers, now_ms, names),
         told,
         named,
-        tuple(int(min(1e12, now_ms - peers.met_ms.get(n, -1e12))) for n in known),
+        tuple(int(min(1e12, now_ms - peers.first_seen_ms.get(n, -1e12))) for n in known),
         summaries.group_digest(peers.group),
     )
 
--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -53,7 +53,7 @@
     group_digests: dict = field(default_factory=dict)
     turn_group: GroupCard = NO_GROUP
     group_turn: int = 0
-    met_ms: dict = field(default_factory=dict)
+    first_seen_ms: dict = field(default_factory=dict)
     learned_ms: dict = field(default_factory=dict)
     settled_turns: int = 0
     summary: summaries.Summary = None
@@ -146,20 +146,21 @@
                 alive_ms[name] = at_ms
 
 
-def _meet(peers, now_ms, card, met_ms):
+def _meet(peers, now_ms, card, first_seen_ms):
     """A card heard directly (no `met_ms`) replaces the old one; hearsay only fills
     gaps, or replaces one met before it whose node has been silent here."""
-    old, before = peers.cards.get(card.name), peers.met_ms.get(card.name, -1e12)
-    if met_ms is None:
-        peers.last_contact_ms[card.name] = peers.alive_ms[card.name] = met_ms = now_ms
+    old, before = peers.cards.get(card.name), peers.first_seen_ms.get(card.name, -1e12)
+    if first_seen_ms is None:
+        peers.last_contact_ms[card.name] = peers.alive_ms[card.name] = first_seen_ms = now_ms
     elif old not in (None, card) and (
-        met_ms <= before or (now_ms - peers.last_contact_ms.get(card.name, -1e12) <= peers.lost_ms)
+        first_seen_ms <= before
+        or (now_ms - peers.last_contact_ms.get(card.name, -1e12) <= peers.lost_ms)
     ):
         return []
     if old == card:
-        peers.met_ms[card.name] = min(before, met_ms)
+        peers.first_seen_ms[card.name] = min(before, first_seen_ms)
         return []
-    peers.cards[card.name], peers.met_ms[card.name] = card, met_ms
+    peers.cards[card.name], peers.first_seen_ms[card.name] = card, first_seen_ms
     peers.learned_ms[card.name] = now_ms
     return [Note("meets", {"name": card.name, "address": card.address})] if old is None else []
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -75,7 +75,7 @@
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, own=part.before == card.name)
+                else Placer(shard, part.epoch, held, own=part.previous_holder == card.name)
             )
             effects.append(Note("holds", {"shard": shard, "epoch": part.epoch}, True))
         elif kept and not mine and part.epoch > kept.epoch:
@@ -91,7 +91,7 @@
         held = kept.held
         if not held.ready:
             if leader and now_ms - held.requested_ms > times.ping_ms:
-                effects += shard_log.recover(held, now_ms, card, leader)
+                effects += shard_log.request_recovery(held, now_ms, card, leader)
             continue
         shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
         if kept.shard == 0:
@@ -122,7 +122,7 @@
         body = registries.dump(kept.registry) if kept.shard == 0 else ledgers.dump(kept.ledger)
         shard_log.prepare_checkpoint(held, body)
     retry_ms = times.revoke_ms
-    return shard_log.offer_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
+    return shard_log.send_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
 
 
 def on_chunk(ownership, now_ms, sender, message, terms):
--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -2,8 +2,8 @@
 
 Sections arrive pipelined; epoch and place are checked before anything is
 staged.  Whoever writes next takes all that is staged as one batch.  Nothing
-in flight and a fast last write: written at once.  Otherwise at most two
-batches are in flight, and the next waits shortly for the shards of the last,
+in batch and a fast last write: written at once.  Otherwise at most two
+batches are in batch, and the next waits shortly for the shards of the last,
 which usually answer its DURABLE together.
 """
 
@@ -18,12 +18,12 @@
 
 __all__ = [
     "BatchWriter",
-    "Flight",
+    "PendingBatch",
     "open_writer",
     "stage",
-    "stage_own",
+    "stage_internal",
     "write_due",
-    "settle",
+    "report_durable",
     "wake_at",
 ]
 
@@ -32,10 +32,10 @@
 
 
 @dataclass
-class Flight:
+class PendingBatch:
     index: int
     sent_ms: float
-    places: tuple
+    positions: tuple
 
 
 @dataclass
@@ -45,13 +45,13 @@
     next: dict = field(default_factory=dict)
     epochs: dict = field(default_factory=dict)
     connections: dict = field(default_factory=dict)
-    flights: list = field(default_factory=list)
+    pending: list = field(default_factory=list)
     last_write_ms: float = 1e9
     flush_ms: float = 1.0
     last_shards: frozenset = frozenset()
     last_done_ms: float = 0.0
     turnMs: dict = field(default_factory=dict)
-    told_ms: dict = field(default_factory=dict)
+    reported_ms: dict = field(default_factory=dict)
     hold_until_ms: float = 0.0
     recoveries: dict = field(default_factory=dict)
     batches: int = 0
@@ -97,13 +97,13 @@
 
 
 def _learn_turn(writer, now_ms, shard):
-    told = writer.told_ms.pop(shard, None)
+    told = writer.reported_ms.pop(shard, None)
     if told is not None:
         old = writer.turnMs.get(shard, now_ms - told)
         writer.turnMs[shard] = old + 0.25 * (now_ms - told - old)
 
 
-def stage_own(writer, section):
+def stage_internal(writer, section):
     """Stage a record of the log node's own; a lease drops the old holder's."""
     if section.kind == state_machine.LEASE:
         writer.staged = [s for s in writer.staged if s.shard != section.shard]
@@ -113,9 +113,9 @@
 
 def write_due(replica, writer, now_ms):
     """Cut a batch if one is due now; returns its effects."""
-    if not writer.serving or not writer.staged or len(writer.flights) >= replica.settings.in_flight:
+    if not writer.serving or not writer.staged or len(writer.pending) >= replica.settings.in_flight:
         return []
-    fast = not writer.flights and writer.last_write_ms <= replica.settings.inline_ms
+    fast = not writer.pending and writer.last_write_ms <= replica.settings.inline_ms
     if not fast and replica.settings.group_wait and now_ms < _hold_until(writer, now_ms):
         return []
     taken, size = [], 0
@@ -130,7 +130,7 @@
             writer.records += len(s.records)
     writer.batches += 1
     writer.last_shards = frozenset(places)
-    writer.flights.append(Flight(last_index(replica) + 1, now_ms, tuple(places.values())))
+    writer.pending.append(PendingBatch(last_index(replica) + 1, now_ms, tuple(places.values())))
     return log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(taken))), inline=fast)
 
 
@@ -146,22 +146,22 @@
 
 def wake_at(replica, writer, now_ms):
     """When `write_due` wants to be asked again, if a batch is being held."""
-    if writer.serving and writer.staged and len(writer.flights) < replica.settings.in_flight:
+    if writer.serving and writer.staged and len(writer.pending) < replica.settings.in_flight:
         return max(now_ms, _hold_until(writer, now_ms))
     return None
 
 
-def settle(replica, writer, now_ms):
+def report_durable(replica, writer, now_ms):
     """Tell each connection, in one frame, the new durable places of its shards."""
     told: dict = {}
-    while writer.flights and writer.flights[0].index <= replica.commit:
-        flight = writer.flights.pop(0)
-        writer.flush_ms += 0.25 * (now_ms - flight.sent_ms - writer.flush_ms)
+    while writer.pending and writer.pending[0].index <= replica.commit:
+        batch = writer.pending.pop(0)
+        writer.flush_ms += 0.25 * (now_ms - batch.sent_ms - writer.flush_ms)
         writer.last_done_ms = now_ms
-        for place in flight.places:
+        for place in batch.positions:
             if place.shard in writer.connections and place.epoch == writer.epochs.get(place.shard):
                 told.setdefault(writer.connections[place.shard], {})[place.shard] = place
-                writer.told_ms[place.shard] = now_ms
+                writer.reported_ms[place.shard] = now_ms
     return [
         Send(connection, Durable(replica.term, tuple(places.values())))
         for connection, places in told.items()
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -40,7 +40,7 @@
     nodes: leases.NodeTable = field(default_factory=leases.NodeTable)
     feed_requests: feed.PendingRequests = field(default_factory=feed.PendingRequests)
     founding: bootstrap.Bootstrap = field(default_factory=bootstrap.Bootstrap)
-    leave: leaving.Leave | None = None
+    leave: leaving.LeaveState | None = None
 
 
 def handle(depot, now_ms, event, cards, known):
@@ -69,7 +69,7 @@
     effects = bootstrap.tick(replica, depot.founding, now_ms, cards, known)
     effects += election.tick(replica, now_ms)
     if replica.role == "leader":
-        leaving.watch(replica, now_ms)
+        leaving.update_departures(replica, now_ms)
     effects += reconfiguration.tick(replica, now_ms, cards)
     if depot.leave is not None:
         effects += leaving.tick(replica, depot.leave, now_ms)
@@ -147,13 +147,13 @@
                 batches=depot.writer.batches, records=depot.writer.records
             )
             depot.feed_requests = feed.PendingRequests()
-            replica.feed_retains = None
+            replica.feed_retained_index = None
             depot.nodes = leases.NodeTable(tick_ms=depot.nodes.tick_ms)
     elif not depot.writer.serving and replica.commit >= replica.term_index:
         depot.writer = batch_writer.open_writer(replica, depot.writer)
         effects.append(Note("serves", {"term": replica.term, "commit": replica.commit}))
     if depot.writer.serving:
-        effects += batch_writer.settle(replica, depot.writer, now_ms)
+        effects += batch_writer.report_durable(replica, depot.writer, now_ms)
         effects += feed.push(replica, depot.nodes, now_ms)
         effects += feed.answer_requests(replica, depot.feed_requests, now_ms)
         effects += batch_writer.write_due(replica, depot.writer, now_ms)
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -14,9 +14,9 @@
 from replication import log_replication, state_machine
 from replication.group import (
     PeerProgress,
+    has_live_leader,
     last_index,
     last_term,
-    leader_live,
     majority,
     members,
     save_persistent_state,
@@ -103,7 +103,7 @@
     effects = []
     for peer in replica.progress.values():
         if now_ms - peer.sent_ms >= replica.settings.heartbeat_ms:
-            effects += log_replication.send_to(replica, peer, now_ms)
+            effects += log_replication.replicate_to(replica, peer, now_ms)
     return effects
 
 
@@ -196,7 +196,7 @@
     """
     if not replica.group or ask.group != replica.group:
         return []
-    if not ask.named and leader_live(replica, now_ms):
+    if not ask.named and has_live_leader(replica, now_ms):
         return [Send(sender, VoteReply(replica.term, replica.identity, False, ask.pre_vote))]
     effects = []
     if not ask.pre_vote and ask.term > replica.term:
--- a/libs/replication/src/replication/feed_snapshots.py
+++ b/libs/replication/src/replication/feed_snapshots.py
@@ -48,7 +48,7 @@
 
 def refresh(replica, nodes, now_ms):
     """Forget transfers to followers that are silent, or were started anew."""
-    if replica.feed_retains is not None:
+    if replica.feed_retained_index is not None:
         _drop_silent(replica, nodes, now_ms)
         _retain(replica, nodes)
 
@@ -56,7 +56,7 @@
 def _retain(replica, nodes):
     """Have the log keep what follows the snapshots under way."""
     sending = [n.transfer for n in nodes.contacts.values() if n.transfer]
-    replica.feed_retains = min((t.snapshot.id.index for t in sending), default=None)
+    replica.feed_retained_index = min((t.snapshot.id.index for t in sending), default=None)
     if not sending:
         nodes.pinned_snapshot = None
 
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -32,7 +32,7 @@
     "group_card",
     "learn_members",
     "open_replica",
-    "leader_live",
+    "has_live_leader",
     "snapshot_file",
     "read_snapshot_file",
 ]
@@ -85,7 +85,7 @@
     in_flight: list = field(default_factory=list)
     rewound_to: int = -1
     rewound_ms: float = -1e12
-    leaves_ms: float = -1e12
+    leave_requested_ms: float = -1e12
 
 
 @dataclass
@@ -127,7 +127,7 @@
     departures: dict = field(default_factory=dict)
     successor: str = ""
     pinned_snapshot: snapshot_transfer.Snapshot | None = None
-    feed_retains: int | None = None
+    feed_retained_index: int | None = None
     incoming: snapshot_transfer.Incoming = field(default_factory=snapshot_transfer.Incoming)
 
 
@@ -165,7 +165,7 @@
 def counted_voters(replica):
     """The voters whose acknowledgements move the commit: all but those that leave and
     were set aside (see `leaving`)."""
-    aside = {i for i, d in replica.departures.items() if d.set_aside_at is not None}
+    aside = {i for i, d in replica.departures.items() if d.uncounted_from is not None}
     return members(replica).keys() - aside
 
 
@@ -187,7 +187,7 @@
     )
 
 
-def leader_live(replica, now_ms):
+def has_live_leader(replica, now_ms):
     return (
         replica.leader and now_ms - replica.last_contact_ms < replica.settings.election_timeout_ms
     )
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -149,11 +149,11 @@
 
 def _lease(replica, writer, nodes, shard, name):
     part = state_machine.shard_of(replica.state, shard)
-    flying = [p.position for f in writer.flights for p in f.places if p.shard == shard]
+    flying = [p.position for f in writer.pending for p in f.positions if p.shard == shard]
     section = state_machine.lease_section(
         shard, part.epoch + 1, name, nodes.contacts[name].incarnation
     )
-    batch_writer.stage_own(writer, section)
+    batch_writer.stage_internal(writer, section)
     writer.next[shard] = max(flying + [part.next - 1]) + 1
     return [Note("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
 
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -15,14 +15,14 @@
 from replication.group import majority, members
 
 __all__ = [
-    "Leave",
+    "LeaveState",
     "Departure",
     "begin",
-    "learner_leaves",
+    "learner_is_leaving",
     "on_reply",
     "on_request",
     "tick",
-    "watch",
+    "update_departures",
 ]
 
 # The part of its time after which a leader no longer waits for a successor, but hands over.
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Leave:
+class LeaveState:
     """Our own leave: since when, until when at most, and how it ended."""
 
     since_ms: float
@@ -49,12 +49,12 @@
 
     began_ms: float
     requested_ms: float = -1e12
-    set_aside_at: int | None = None
+    uncounted_from: int | None = None
     released: bool = False
 
 
 def begin(replica, now_ms):
-    return Leave(now_ms, now_ms + replica.settings.leave_ms)
+    return LeaveState(now_ms, now_ms + replica.settings.leave_ms)
 
 
 def tick(replica, leave, now_ms):
@@ -132,7 +132,7 @@
     identity = message.identity
     if identity not in members(replica):
         if identity in replica.progress:
-            replica.progress[identity].leaves_ms = now_ms
+            replica.progress[identity].leave_requested_ms = now_ms
         removed = LeaveReply(replica.group, identity, True)
         return [] if replica.member_entries else [Send(sender, removed)]
     departure = replica.departures.setdefault(identity, Departure(now_ms))
@@ -146,7 +146,7 @@
     return [Send(sender, LeaveReply(replica.group, identity, False))]
 
 
-def watch(replica, now_ms):
+def update_departures(replica, now_ms):
     """As leader: forget who came back or is no member, and count again whom we need."""
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
@@ -169,19 +169,19 @@
         if not _is_set_aside(replica, other)
     ]
     if len(counted) < majority(replica):
-        departure.set_aside_at = None
-    elif departure.set_aside_at is None:
-        departure.set_aside_at = replica.commit
+        departure.uncounted_from = None
+    elif departure.uncounted_from is None:
+        departure.uncounted_from = replica.commit
 
 
 def _can_spare(replica, now_ms, identity, departure):
     """Whether a majority without this member holds what it may have been counted for, and
     was heard of since it asked: one that was lost a moment ago is not known to be."""
-    if departure.set_aside_at is None:
+    if departure.uncounted_from is None:
         return False
     holding = [
         other
-        for other in _staying(replica, now_ms, identity, departure.set_aside_at)
+        for other in _staying(replica, now_ms, identity, departure.uncounted_from)
         if other == replica.identity or replica.progress[other].last_contact_ms > departure.began_ms
     ]
     return len(holding) >= majority(replica)
@@ -210,7 +210,7 @@
 
 def _is_set_aside(replica, identity):
     departure = replica.departures.get(identity)
-    return departure is not None and departure.set_aside_at is not None
+    return departure is not None and departure.uncounted_from is not None
 
 
 def _is_released(replica, identity):
@@ -224,9 +224,9 @@
     return surplus or bool(replica.member_entries) or _successor_in_sight(replica, now_ms)
 
 
-def learner_leaves(replica, peer):
+def learner_is_leaving(replica, peer):
     """Whether a learner asked to leave, and hasn't come back since; it was told that it may."""
-    return peer.last_contact_ms <= peer.leaves_ms + replica.settings.election_timeout_ms
+    return peer.last_contact_ms <= peer.leave_requested_ms + replica.settings.election_timeout_ms
 
 
 def _successor_in_sight(replica, now_ms):
@@ -234,7 +234,7 @@
     return any(
         peer.learner
         and identity not in replica.departures
-        and not learner_leaves(replica, peer)
+        and not learner_is_leaving(replica, peer)
         and now_ms - peer.last_contact_ms < replica.settings.election_timeout_ms
         for identity, peer in replica.progress.items()
     )
--- a/libs/replication/src/replication/log_commit.py
+++ b/libs/replication/src/replication/log_commit.py
@@ -5,7 +5,7 @@
 from replication import state_machine
 from replication.group import entry_at, term_at
 
-__all__ = ["advance", "count_written", "cut", "write"]
+__all__ = ["advance_commit", "mark_written", "truncate", "write"]
 
 
 def write(replica, now_ms, entries, inline=False):
@@ -14,7 +14,7 @@
     return [Write(entries, inline, replica.synced)]
 
 
-def cut(replica, index):
+def truncate(replica, index):
     """Drop the entries from `index` on, which another leader's take the place of."""
     del replica.log[index - replica.base_index - 1 :]
     replica.synced = min(replica.synced, index - 1)
@@ -22,7 +22,7 @@
         replica.member_entries.pop()
 
 
-def count_written(replica, index, term):
+def mark_written(replica, index, term):
     """A write of ours is synced; count it once all before it are."""
     for pending in replica.writes:
         if pending[0] == index and pending[1] == term:
@@ -33,7 +33,7 @@
             replica.synced = max(replica.synced, done)
 
 
-def advance(replica, commit):
+def advance_commit(replica, commit):
     """Apply entries up to `commit` to the state machine."""
     while replica.commit < commit:
         entry = entry_at(replica, replica.commit + 1)
--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "accept_leader",
-    "acknowledged",
+    "acknowledged_index",
     "matched_reply",
     "on_entries",
     "on_snapshot",
@@ -65,7 +65,7 @@
     return effects
 
 
-def acknowledged(replica):
+def acknowledged_index(replica):
     """The last entry that a follower answers for: on its disk, in its own log or under
     its snapshot, and known to be what the leader of this term has."""
     return max(replica.snapshot_index, min(replica.synced, replica.verified))
@@ -94,7 +94,7 @@
         if entry.index <= replica.commit or term_at(replica, entry.index) == entry.term:
             continue
         if entry.index <= last_index(replica):
-            log_commit.cut(replica, entry.index)
+            log_commit.truncate(replica, entry.index)
         replica.log.append(entry)
         replica.bytes_since_snapshot += len(entry.body)
         learn_members(replica, entry)
@@ -103,16 +103,16 @@
         effects += log_commit.write(replica, now_ms, tuple(fresh))
     top = message.prev_index + len(message.entries)
     replica.verified = max(replica.verified, top)
-    effects += log_commit.advance(replica, min(message.commit, replica.verified))
-    return effects + [Send(sender, _ack(replica, True, acknowledged(replica), message.round))]
+    effects += log_commit.advance_commit(replica, min(message.commit, replica.verified))
+    return effects + [Send(sender, _ack(replica, True, acknowledged_index(replica), message.round))]
 
 
 def on_written(replica, index, term):
     """A write of ours is synced: tell the leader, if there is one."""
-    log_commit.count_written(replica, index, term)
+    log_commit.mark_written(replica, index, term)
     if not replica.leader_address:
         return []
-    return [Send(replica.leader_address, _ack(replica, True, acknowledged(replica), 0))]
+    return [Send(replica.leader_address, _ack(replica, True, acknowledged_index(replica), 0))]
 
 
 def on_snapshot(replica, now_ms, sender, message):
@@ -125,7 +125,7 @@
     effects = _follow(replica, now_ms, message)
     if message.index > replica.commit:
         effects.append(_install(replica, message.body))
-    return effects + [Send(sender, _ack(replica, True, acknowledged(replica), 0))]
+    return effects + [Send(sender, _ack(replica, True, acknowledged_index(replica), 0))]
 
 
 def _install(replica, snapshot):
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -27,7 +27,7 @@
     "on_ack",
     "on_written",
     "propose",
-    "send_to",
+    "replicate_to",
 ]
 
 # Entries that go as one message.
@@ -49,7 +49,7 @@
     _match_others(replica, now_ms)
     effects = []
     for peer in replica.progress.values():
-        effects += send_to(replica, peer, now_ms)
+        effects += replicate_to(replica, peer, now_ms)
     return effects + log_commit.write(replica, now_ms, (entry,), inline)
 
 
@@ -75,7 +75,7 @@
         learner=True,
         catch_up=catch_up.begin(last_index(replica), now_ms),
     )
-    return send_to(replica, replica.progress[identity], now_ms)
+    return replicate_to(replica, replica.progress[identity], now_ms)
 
 
 def new_round(replica, now_ms):
@@ -86,7 +86,7 @@
         del replica.round_sent_ms[old]
     effects = []
     for peer in replica.progress.values():
-        effects += send_to(replica, peer, now_ms)
+        effects += replicate_to(replica, peer, now_ms)
     return effects
 
 
@@ -103,7 +103,7 @@
     return next(i for i, o in replica.progress.items() if o is peer)
 
 
-def send_to(replica, peer, now_ms):
+def replicate_to(replica, peer, now_ms):
     peer.sent_ms = now_ms
     to = _identity_of(replica, peer)
     lacks_entries = peer.next <= replica.base_index
@@ -152,7 +152,7 @@
     """A write of ours is synced: a leader counts it, a follower tells its leader."""
     if replica.role != "leader":
         return log_following.on_written(replica, index, term)
-    log_commit.count_written(replica, index, term)
+    log_commit.mark_written(replica, index, term)
     return count(replica)
 
 
@@ -173,7 +173,7 @@
         catch_up.on_acknowledged(peer.catch_up, peer.match, last_index(replica), now_ms)
     effects = count(replica)
     if peer.next <= last_index(replica):
-        effects += send_to(replica, peer, now_ms)
+        effects += replicate_to(replica, peer, now_ms)
     return effects
 
 
@@ -190,7 +190,7 @@
     peer.rewound_to, peer.rewound_ms = index, now_ms
     peer.next = min(peer.next, index + 1)
     peer.in_flight = [f for f in peer.in_flight if f[0] <= index]
-    return send_to(replica, peer, now_ms)
+    return replicate_to(replica, peer, now_ms)
 
 
 def count(replica):
@@ -205,5 +205,5 @@
         return []
     place = places[majority(replica) - 1]
     if place > replica.commit and term_at(replica, place) == replica.term:
-        return log_commit.advance(replica, place)
+        return log_commit.advance_commit(replica, place)
     return []
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -84,7 +84,7 @@
         if peer.learner
         and identity in depots
         and identity not in replica.departures
-        and not leaving.learner_leaves(replica, peer)
+        and not leaving.learner_is_leaving(replica, peer)
         and _heard(replica, now_ms, identity)
         and catch_up.caught_up(peer.catch_up, now_ms, replica.settings.election_timeout_ms)
     ]
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "ShardLog",
-    "recover",
+    "request_recovery",
     "on_chunk",
     "append",
     "flush",
@@ -24,7 +24,7 @@
     "resend",
     "checkpoint_due",
     "prepare_checkpoint",
-    "offer_checkpoint",
+    "send_checkpoint",
     "barrier",
 ]
 
@@ -40,7 +40,7 @@
 
     position: int
     body: bytes
-    offered_ms: float = -1e12
+    sent_ms: float = -1e12
 
 
 @dataclass
@@ -78,7 +78,7 @@
         return self.released or (self.refused_term >= 0 and self.refused_term >= self.term)
 
 
-def recover(log, now_ms, card, to):
+def request_recovery(log, now_ms, card, to):
     log.requested_ms = now_ms
     return [Send(to, RecoverAsk(log.shard, log.epoch, card.address, 0))]
 
@@ -166,11 +166,11 @@
         log.sent = max(log.durable, min(log.sent, message.expected - 1))
 
 
-def resend(log, now_ms, term, retryMs):
+def resend(log, now_ms, term, retry_ms):
     """A new log node, or a silent one: offer everything unacknowledged again."""
     if term > log.term:
         log.term, log.sent = term, log.durable
-    elif log.unacked and now_ms - log.sent_ms > retryMs:
+    elif log.unacked and now_ms - log.sent_ms > retry_ms:
         log.sent = log.durable
 
 
@@ -192,7 +192,7 @@
     log.checkpoint_bytes, log.bytes_since_checkpoint = len(body), 0
 
 
-def offer_checkpoint(log, now_ms, card, to, confirmed_at, retry_ms):
+def send_checkpoint(log, now_ms, card, to, confirmed_at, retry_ms):
     """Send a prepared checkpoint until the feed shows that it counts."""
     prepared = log.prepared
     if prepared is None or log.durable < prepared.position or not to:
@@ -200,9 +200,9 @@
     if confirmed_at >= prepared.position:
         log.checkpoint_at, log.prepared = confirmed_at, None
         return []
-    if now_ms - prepared.offered_ms < retry_ms:
+    if now_ms - prepared.sent_ms < retry_ms:
         return []
-    prepared.offered_ms = now_ms
+    prepared.sent_ms = now_ms
     section = Section(
         log.shard, log.epoch, state_machine.CHECKPOINT, prepared.position, (prepared.body,)
     )
--- a/libs/replication/src/replication/snapshot_sending.py
+++ b/libs/replication/src/replication/snapshot_sending.py
@@ -72,6 +72,6 @@
 def retained_index(replica):
     """The first index whose later entries a transfer under way will need, or None."""
     indices = [p.transfer.snapshot.id.index for p in replica.progress.values() if p.transfer]
-    if replica.feed_retains is not None:
-        indices.append(replica.feed_retains)
+    if replica.feed_retained_index is not None:
+        indices.append(replica.feed_retained_index)
     return min(indices, default=None)
--- a/libs/replication/src/replication/state_machine.py
+++ b/libs/replication/src/replication/state_machine.py
@@ -39,7 +39,7 @@
     epoch: int = 0
     holder: str = ""
     incarnation: str = ""
-    before: str = ""
+    previous_holder: str = ""
     next: int = 1
     checkpoint_at: int = 0
     checkpoint: bytes = b""
@@ -59,7 +59,7 @@
     epoch: int
     holder: str
     incarnation: str
-    before: str
+    previous_holder: str
     next: int
     checkpoint_at: int
     checkpoint: bytes
@@ -99,7 +99,7 @@
         if section.epoch != part.epoch + 1:
             return False
         given = json.loads(section.records[0])
-        part.epoch, part.before = section.epoch, part.holder
+        part.epoch, part.previous_holder = section.epoch, part.holder
         part.holder, part.incarnation = given["holder"], given["incarnation"]
         return True
     if section.epoch != part.epoch:
@@ -131,7 +131,7 @@
                     s.epoch,
                     s.holder,
                     s.incarnation,
-                    s.before,
+                    s.previous_holder,
                     s.next,
                     s.checkpoint_at,
                     s.checkpoint,
@@ -153,7 +153,7 @@
                 s.epoch,
                 s.holder,
                 s.incarnation,
-                s.before,
+                s.previous_holder,
                 s.next,
                 s.checkpoint_at,
                 s.checkpoint,
--- a/libs/simulation/src/simulation/measure.py
+++ b/libs/simulation/src/simulation/measure.py
@@ -93,7 +93,7 @@
             if part.holder == "driver" and held is None:
                 held = self._held[shard] = shard_log.ShardLog(shard, part.epoch)
             if held and not held.ready and now_ms - held.requested_ms > 500:
-                self._out(shard_log.recover(held, now_ms, self._card, self._leader))
+                self._out(shard_log.request_recovery(held, now_ms, self._card, self._leader))
         return sum(h.ready for h in self._held.values()) == 8
 
     def _append(self, held):
--- a/libs/simulation/src/simulation/model/choices.py
+++ b/libs/simulation/src/simulation/model/choices.py
@@ -111,7 +111,7 @@
         if (
             left.get("silence", 0) > 0
             and isinstance(packet.message, VoteRequest)
-            and (groups.leader_live(target.core.group, NOW_MS))
+            and (groups.has_live_leader(target.core.group, NOW_MS))
         ):
             kinds.append("silence")
         if left.get("torn", 0) > 0:
--- a/libs/simulation/src/simulation/model/forks.py
+++ b/libs/simulation/src/simulation/model/forks.py
@@ -35,7 +35,7 @@
         "last_write_ms",
         "last_done_ms",
         "turnMs",
-        "told_ms",
+        "reported_ms",
         "last_shards",
         "card",
         "bytes_since_snapshot",
--- a/libs/simulation/src/simulation/model/mutants.py
+++ b/libs/simulation/src/simulation/model/mutants.py
@@ -131,7 +131,7 @@
     Mutant(
         "durable told before it is",
         "answers-kept",
-        [(batch_writer, "settle", variants.settles_early)],
+        [(batch_writer, "report_durable", variants.settles_early)],
     ),
     Mutant(
         "reads not confirmed by a majority",
--- a/libs/simulation/src/simulation/model/variants.py
+++ b/libs/simulation/src/simulation/model/variants.py
@@ -75,7 +75,7 @@
 def commits_unverified(replica, now_ms, sender, message):
     """Whatever is here is committed as far as the leader is, also after a refusal."""
     effects = _REAL["on_entries"](replica, now_ms, sender, message)
-    log_commit.advance(replica, min(message.commit, groups.last_index(replica)))
+    log_commit.advance_commit(replica, min(message.commit, groups.last_index(replica)))
     return effects
 
 
@@ -88,11 +88,15 @@
     voters = groups.members(replica)
     places = [o.match for i, o in replica.progress.items() if i in voters] + [replica.synced]
     place = sorted(places, reverse=True)[groups.majority(replica) - 1]
-    return log_commit.advance(replica, place) if place > replica.commit else []
+    return log_commit.advance_commit(replica, place) if place > replica.commit else []
 
 
 def alone(replica):
-    return log_commit.advance(replica, replica.synced) if replica.synced > replica.commit else []
+    return (
+        log_commit.advance_commit(replica, replica.synced)
+        if replica.synced > replica.commit
+        else []
+    )
 
 
 def older_views(replica, now_ms, sender, message):
@@ -107,7 +111,7 @@
 def drops_suffix(replica, now_ms, sender, message):
     """A snapshot drops what was synced past it."""
     if replica.commit < message.index < groups.last_index(replica):
-        log_commit.cut(replica, message.index + 1)
+        log_commit.truncate(replica, message.index + 1)
     return _REAL["on_snapshot"](replica, now_ms, sender, message)
 
 
@@ -151,7 +155,7 @@
 def settles_early(replica, d, now_ms):
     commit, replica.commit = replica.commit, groups.last_index(replica)
     try:
-        return _REAL["settle"](replica, d, now_ms)
+        return _REAL["report_durable"](replica, d, now_ms)
     finally:
         replica.commit = commit
 
@@ -199,7 +203,7 @@
     "_ack": log_following._ack,
     "on_snapshot": log_following.on_snapshot,
     "propose": log_replication.propose,
-    "settle": batch_writer.settle,
+    "report_durable": batch_writer.report_durable,
     "load_entries": disks.load_entries,
     "trim": log_compaction.trim,
     "tick": election.tick,
--- a/libs/simulation/src/simulation/mutants_of_control.py
+++ b/libs/simulation/src/simulation/mutants_of_control.py
@@ -58,7 +58,7 @@
             (
                 log_replication,
                 "count",
-                lambda g: log_commit.advance(g, g.synced) if g.synced > g.commit else [],
+                lambda g: log_commit.advance_commit(g, g.synced) if g.synced > g.commit else [],
             )
         ],
     ),
@@ -70,7 +70,7 @@
             (
                 log_replication,
                 "count",
-                lambda g: log_commit.advance(g, g.synced) if g.synced > g.commit else [],
+                lambda g: log_commit.advance_commit(g, g.synced) if g.synced > g.commit else [],
             )
         ],
         seeds=(3, 4, 8, 11),
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -191,7 +191,7 @@
             passing[0] = 6
             body = batch(1, number, random.Random(number).randbytes(100_000))
             group.propose("a", body)
-            log_commit.advance(leader, leader.synced)
+            log_commit.advance_commit(leader, leader.synced)
             group.heartbeat("a")
         passing[0] = 1 << 30
         for _ in range(4):
@@ -246,7 +246,7 @@
             body = batch(1, number, bytes(800_000))
             log_replication.propose(leader, group.now_ms, body)
             leader.synced = replicas.last_index(leader)
-            log_commit.advance(leader, leader.synced)
+            log_commit.advance_commit(leader, leader.synced)
             log_compaction.trim(leader)
         kept = sum(len(entry.body) for entry in leader.log)
         self.assertThat(kept, LessThan(36 << 20))
--- a/tests/test_circle.py
+++ b/tests/test_circle.py
@@ -33,7 +33,7 @@
         for n in range(count):
             if card(n) != one.card:
                 one.cards[card(n).name] = card(n)
-                one.met_ms[card(n).name] = now_ms - 1e6
+                one.first_seen_ms[card(n).name] = now_ms - 1e6
                 one.alive_ms[card(n).name] = one.last_contact_ms[card(n).name] = now_ms
     told = greetings.greeting(found["10.0.0.0:1"], False, now_ms)
     for one in found.values():
@@ -84,7 +84,7 @@
     one = circle_of(1)
     peer_table.on_greet(one, 1e6, "10.0.0.2:1", greetings.greeting(circle_of(2, "2"), False, 1e6))
     teller = circle_of(3)
-    teller.cards["n002"], teller.met_ms["n002"] = card(2, "1"), 1e6 - 50000
+    teller.cards["n002"], teller.first_seen_ms["n002"] = card(2, "1"), 1e6 - 50000
     peer_table.on_greet(
         one, 1e6 + 9000, "10.0.0.3:1", greetings.greeting(teller, False, 1e6 + 9000)
     )
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -71,7 +71,7 @@
                         Section(shard, 1, state_machine.RECORDS, first, (b"{}",)),
                     )
                 )
-            self.do(batch_writer.settle(self.g, self.d, self.now))
+            self.do(batch_writer.report_durable(self.g, self.d, self.now))
             self.do(batch_writer.write_due(self.g, self.d, self.now))
             wake_ms = batch_writer.wake_at(self.g, self.d, self.now)
             if wake_ms is not None:
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -45,7 +45,7 @@
         body = batch(1, number, random.Random(number).randbytes(size))
         log_replication.propose(replica, self.now_ms, body)
         replica.synced = replicas.last_index(replica)
-        log_commit.advance(replica, replica.synced)
+        log_commit.advance_commit(replica, replica.synced)
         log_compaction.trim(replica)
 
     def ping(self):
@@ -193,7 +193,9 @@
         """Pings of a holder until it has its shard; the bytes that were sent."""
         sent, card = 0, m.Card("h", "counter", "z", "h", "h", "h.1")
         for turn in range(100):
-            queue = [("a", e.message) for e in shard_log.recover(log, turn * 240.0, card, "a")]
+            queue = [
+                ("a", e.message) for e in shard_log.request_recovery(log, turn * 240.0, card, "a")
+            ]
             while queue:
                 to, message = queue.pop(0)
                 if isinstance(message, m.ShardChunk):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -387,7 +387,7 @@
     back_ms = 20.0 + 2 * TIMES.election_timeout_ms
     acked(leader, "c", 2, back_ms)
     acked(leader, "b", 2, back_ms)
-    leaving.watch(leader, back_ms)
+    leaving.update_departures(leader, back_ms)
     assert ask_to_leave(leader, "b", back_ms) == []
     acked(leader, "c", 2, back_ms + 10.0)
     assert ask_to_leave(leader, "b", back_ms + 20.0) == [LeaveReply("g", "b", False)]
