--- a/tests/test_greeting_size.py
+++ b/tests/test_greeting_size.py
@@ -3,7 +3,7 @@
 import random
 
 from membership import greetings
-from test_circle import acquainted, circle_of, turns
+from test_peer_table import acquainted, circle_of, turns
 from transport import frames
 from transport.messages import GroupCard, Member
 
