--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -1,10 +1,11 @@
-"""The log node's batch writer: sections staged, batches cut, positions told.
-
-Sections arrive pipelined; epoch and place are checked before anything is
-staged.  Whoever writes next takes all that is staged as one batch.  Nothing
-in batch and a fast last write: written at once.  Otherwise at most two
-batches are in batch, and the next waits shortly for the shards of the last,
-which usually answer its DURABLE together.
+"""The leader's batch writer: it combines the records of many shards into log entries.
+
+Lease holders send sections of records without waiting for replies.  A section whose epoch
+or position is wrong is refused before it is staged.  Each batch takes all staged sections,
+up to a size limit, and becomes one log entry.  If no batch is in flight and the last write
+was fast, a batch is written at once.  Otherwise at most `in_flight` batches are in flight,
+and the next batch waits briefly for the shards of the last one: their holders usually send
+their next sections together, right after the `Durable` message.
 """
 
 from dataclasses import dataclass, field
@@ -27,12 +28,15 @@
     "wake_at",
 ]
 
-# An entry goes in one message, and heartbeats wait behind it.
+# An entry is sent as one message, which delays the heartbeats queued behind it.
 _MAX_BATCH_BYTES = 1 << 20
 
 
 @dataclass
 class PendingBatch:
+    """A batch that was written and isn't committed yet: its log index, and the position up
+    to which it makes the records of each shard durable."""
+
     index: int
     sent_ms: float
     positions: tuple
@@ -40,6 +44,14 @@
 
 @dataclass
 class BatchWriter:
+    """State of the batch writer; `serving` while this depot leads and accepts records.
+
+    `next`, `epochs` and `connections` hold, by shard, the next expected position, the epoch
+    of the newest staged lease and the connection of the holder.  `flush_ms` is a moving
+    average of the time from write to commit; `turnMs` is one, by shard, of the time between
+    a `Durable` message and the holder's next section.
+    """
+
     serving: bool = False
     staged: list = field(default_factory=list)
     next: dict = field(default_factory=dict)
@@ -59,7 +71,7 @@
 
 
 def open_writer(replica, writer):
-    """Start serving: the log up to our term's first entry is applied."""
+    """Start serving, once the log up to the first entry of this leader's term is applied."""
     fresh = BatchWriter(serving=True, batches=writer.batches, records=writer.records)
     for shard, part in replica.state.shards.items():
         fresh.next[shard], fresh.epochs[shard] = part.next, part.epoch
@@ -67,7 +79,9 @@
 
 
 def stage(replica, writer, now_ms, sender, section):
-    """Check a holder's section and stage it, or say why not."""
+    """Stage a lease holder's section, or return a message that refuses it.
+
+    Records that were staged before are skipped; if all were, the reply is the durable position."""
     epoch = writer.epochs.get(section.shard, 0)
     if section.epoch != epoch:
         return [Send(sender, _refused(replica, section, "epoch", epoch))]
@@ -81,14 +95,16 @@
     if section.first < expected:
         known = expected - section.first
         if known >= len(section.records):
-            place = replica.state.shards[section.shard].next - 1
-            return [Send(sender, Durable(replica.term, (ShardPlace(section.shard, epoch, place),)))]
+            position = replica.state.shards[section.shard].next - 1
+            return [
+                Send(sender, Durable(replica.term, (ShardPlace(section.shard, epoch, position),)))
+            ]
         section = type(section)(
             section.shard, epoch, section.kind, expected, section.records[known:]
         )
     writer.next[section.shard] = expected + len(section.records)
     writer.staged.append(section)
-    _learn_turn(writer, now_ms, section.shard)
+    _record_turnaround(writer, now_ms, section.shard)
     return []
 
 
@@ -96,15 +112,15 @@
     return Refused(section.shard, section.epoch, cause, expected, replica.term)
 
 
-def _learn_turn(writer, now_ms, shard):
-    told = writer.reported_ms.pop(shard, None)
-    if told is not None:
-        old = writer.turnMs.get(shard, now_ms - told)
-        writer.turnMs[shard] = old + 0.25 * (now_ms - told - old)
+def _record_turnaround(writer, now_ms, shard):
+    reported_ms = writer.reported_ms.pop(shard, None)
+    if reported_ms is not None:
+        old = writer.turnMs.get(shard, now_ms - reported_ms)
+        writer.turnMs[shard] = old + 0.25 * (now_ms - reported_ms - old)
 
 
 def stage_internal(writer, section):
-    """Stage a record of the log node's own; a lease drops the old holder's."""
+    """Stage a section of the leader itself; a lease drops the old holder's staged sections."""
     if section.kind == state_machine.LEASE:
         writer.staged = [s for s in writer.staged if s.shard != section.shard]
         writer.epochs[section.shard] = section.epoch
@@ -112,57 +128,61 @@
 
 
 def write_due(replica, writer, now_ms):
-    """Cut a batch if one is due now; returns its effects."""
+    """Write a batch if one is due now; returns its effects."""
     if not writer.serving or not writer.staged or len(writer.pending) >= replica.settings.in_flight:
         return []
     fast = not writer.pending and writer.last_write_ms <= replica.settings.inline_ms
     if not fast and replica.settings.group_wait and now_ms < _hold_until(writer, now_ms):
         return []
-    taken, size = [], 0
+    sections, size = [], 0
     while writer.staged and size < _MAX_BATCH_BYTES:
         section = writer.staged.pop(0)
-        taken.append(section)
+        sections.append(section)
         size += sum(len(r) for r in section.records)
-    places = {}
-    for s in taken:
+    positions = {}
+    for s in sections:
         if s.kind == state_machine.RECORDS:
-            places[s.shard] = ShardPlace(s.shard, s.epoch, s.first + len(s.records) - 1)
+            positions[s.shard] = ShardPlace(s.shard, s.epoch, s.first + len(s.records) - 1)
             writer.records += len(s.records)
     writer.batches += 1
-    writer.last_shards = frozenset(places)
-    writer.pending.append(PendingBatch(last_index(replica) + 1, now_ms, tuple(places.values())))
-    return log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(taken))), inline=fast)
+    writer.last_shards = frozenset(positions)
+    writer.pending.append(PendingBatch(last_index(replica) + 1, now_ms, tuple(positions.values())))
+    return log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(sections))), inline=fast)
 
 
 def _hold_until(writer, now_ms):
-    """Until when the next batch waits for the last one's shards."""
-    here = {s.shard for s in writer.staged}
-    if len(writer.last_shards) <= 1 or writer.last_shards <= here:
+    """Return the time until which the next batch waits for sections of the last batch's shards."""
+    staged_shards = {s.shard for s in writer.staged}
+    if len(writer.last_shards) <= 1 or writer.last_shards <= staged_shards:
         return now_ms
-    turns = [writer.turnMs[s] for s in writer.last_shards if s in writer.turnMs]
-    usual_ms = 3 * max(turns, default=0.0)
+    turnarounds_ms = [writer.turnMs[s] for s in writer.last_shards if s in writer.turnMs]
+    usual_ms = 3 * max(turnarounds_ms, default=0.0)
     return writer.last_done_ms + min(max(usual_ms, 0.02), writer.flush_ms / 4)
 
 
 def wake_at(replica, writer, now_ms):
-    """When `write_due` wants to be asked again, if a batch is being held."""
+    """Return when `write_due` should be called again, or None if no batch is being held back."""
     if writer.serving and writer.staged and len(writer.pending) < replica.settings.in_flight:
         return max(now_ms, _hold_until(writer, now_ms))
     return None
 
 
 def report_durable(replica, writer, now_ms):
-    """Tell each connection, in one frame, the new durable places of its shards."""
-    told: dict = {}
+    """Send each connection one message with the new durable positions of its shards."""
+    by_connection: dict = {}
     while writer.pending and writer.pending[0].index <= replica.commit:
         batch = writer.pending.pop(0)
         writer.flush_ms += 0.25 * (now_ms - batch.sent_ms - writer.flush_ms)
         writer.last_done_ms = now_ms
-        for place in batch.positions:
-            if place.shard in writer.connections and place.epoch == writer.epochs.get(place.shard):
-                told.setdefault(writer.connections[place.shard], {})[place.shard] = place
-                writer.reported_ms[place.shard] = now_ms
+        for position in batch.positions:
+            if position.shard in writer.connections and position.epoch == writer.epochs.get(
+                position.shard
+            ):
+                by_connection.setdefault(writer.connections[position.shard], {})[position.shard] = (
+                    position
+                )
+                writer.reported_ms[position.shard] = now_ms
     return [
-        Send(connection, Durable(replica.term, tuple(places.values())))
-        for connection, places in told.items()
+        Send(connection, Durable(replica.term, tuple(positions.values())))
+        for connection, positions in by_connection.items()
     ]
