--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -1,8 +1,9 @@
-"""Founding a group.
+"""Bootstrap: empty depots found a group.
 
-Three empty depots that all know each other, and hear of no group from anyone,
-agree on one list and save it; each agrees once in its life.  An empty depot
-alone never founds.  Later changes of the membership are `reconfiguration`'s.
+As many empty depots as the group is to have (`GroupSettings.depots`), which all know each
+other and know of no existing group, agree on a list of founders and save it.  A depot agrees
+to such a list only once.  A single empty depot never founds a group, so a machine that lost
+its disk can't split the membership.  `reconfiguration` makes later changes of membership.
 """
 
 import hashlib
@@ -18,67 +19,77 @@
 
 @dataclass
 class Bootstrap:
+    """The founding that this depot proposes: the group's name, its founders, the identities
+    that agreed, and when it last sent the request."""
+
     group: str = ""
     members: tuple = ()
     agreed: set = field(default_factory=set)
     requested_ms: float = -1e9
 
 
-def _empties(replica, cards):
-    found = {replica.name: Member(replica.name, replica.identity, replica.address)}
+def _empty_depots(replica, cards):
+    members = {replica.name: Member(replica.name, replica.identity, replica.address)}
     for card in cards.values():
         if card.role == "depot" and card.empty and card.name != replica.name:
-            found[card.name] = Member(card.name, card.identity, card.address)
-    return tuple(found[n] for n in sorted(found))
+            members[card.name] = Member(card.name, card.identity, card.address)
+    return tuple(members[n] for n in sorted(members))
 
 
-def _name(members):
-    """A group's name follows from its founders, so asking again, after a restart
-    or by another of them, is asking for the same group."""
-    told = "|".join(f"{m.name}={m.identity}" for m in members)
-    return hashlib.blake2b(told.encode(), digest_size=8).hexdigest()
+def _group_name(members):
+    """Derive a group's name from its founders, so that a repeated request, after a restart
+    or by another founder, is for the same group."""
+    signature = "|".join(f"{m.name}={m.identity}" for m in members)
+    return hashlib.blake2b(signature.encode(), digest_size=8).hexdigest()
 
 
 def tick(replica, bootstrap, now_ms, cards, known):
-    """Ask the others to found: as the first by name of three empty depots, or
-    as any that has agreed while nobody leads yet.  `known` is the group that
-    was heard of, if any."""
+    """Send bootstrap requests to the other founders.
+
+    The first empty depot by name sends them, and so does each depot that has agreed, until a
+    leader is elected.  `known` is the name of an existing group that peers reported, if any.
+    """
     if replica.group and (last_index(replica) or not replica.founders or replica.leader):
         return []
     if not replica.group and not replica.settings.founds:
         return []
     if not replica.group:
-        empties = _empties(replica, cards)[: replica.settings.depots]
-        if len(empties) < replica.settings.depots or empties[0].identity != replica.identity:
+        founders = _empty_depots(replica, cards)[: replica.settings.depots]
+        if len(founders) < replica.settings.depots or founders[0].identity != replica.identity:
             return []
-        if bootstrap.members != empties:
-            bootstrap.group, bootstrap.members, bootstrap.agreed = _name(empties), empties, set()
+        if bootstrap.members != founders:
+            bootstrap.group, bootstrap.members, bootstrap.agreed = (
+                _group_name(founders),
+                founders,
+                set(),
+            )
         if known not in ("", bootstrap.group):
             return []
     if now_ms - bootstrap.requested_ms < replica.settings.election_timeout_ms / 2:
         return []
     bootstrap.requested_ms = now_ms
-    ask = (
+    request = (
         BootstrapRequest(replica.group, replica.founders)
         if replica.group
         else BootstrapRequest(bootstrap.group, bootstrap.members)
     )
-    return [Send(m.address, ask) for m in ask.members if m.identity != replica.identity]
+    return [Send(m.address, request) for m in request.members if m.identity != replica.identity]
 
 
-def on_request(replica, bootstrap, now_ms, sender, ask, known):
-    if replica.identity not in {m.identity for m in ask.members}:
+def on_request(replica, bootstrap, now_ms, sender, request, known):
+    """Agree to found the group if this depot is empty and knows of no other group."""
+    if replica.identity not in {m.identity for m in request.members}:
         return []
     effects = []
     if (
         not replica.group
         and replica.settings.founds
-        and known in ("", ask.group)
-        and (len(ask.members) == replica.settings.depots)
+        and known in ("", request.group)
+        and (len(request.members) == replica.settings.depots)
     ):
-        effects = _adopt(replica, now_ms, ask.group, ask.members)
-    agreed = replica.group == ask.group
-    return effects + [Send(sender, BootstrapReply(ask.group, replica.identity, agreed))]
+        effects = _adopt(replica, now_ms, request.group, request.members)
+    agreed = replica.group == request.group
+    return effects + [Send(sender, BootstrapReply(request.group, replica.identity, agreed))]
 
 
 def _adopt(replica, now_ms, group, founders):
@@ -89,11 +100,12 @@
     return [save_persistent_state(replica), Note("founds", {"group": group})]
 
 
-def on_reply(replica, bootstrap, now_ms, answer):
-    if replica.group or answer.group != bootstrap.group:
+def on_reply(replica, bootstrap, now_ms, reply):
+    """Count a reply; found the group once all other founders agreed."""
+    if replica.group or reply.group != bootstrap.group:
         return []
-    if answer.agreed:
-        bootstrap.agreed.add(answer.identity)
+    if reply.agreed:
+        bootstrap.agreed.add(reply.identity)
     if bootstrap.agreed >= {m.identity for m in bootstrap.members} - {replica.identity}:
         return _adopt(replica, now_ms, bootstrap.group, bootstrap.members)
     return []
