--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -63,7 +63,7 @@
 def out_of_touch(node, now_ms):
     """Whether no majority has confirmed anything to this node for longer than a change of
     leaders takes.  One that has only just started can't tell yet."""
-    longest_ms = 2 * (node.times.election_timeout_ms + node.times.ping_ms)
+    longest_ms = 2 * (node.times.election_ms + node.times.ping_ms)
     return node.follow.current_ms > _NEVER_MS and follows.age(node.follow, now_ms) > longest_ms
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -194,7 +194,7 @@
 def times(config):
     back_ms = config.bounds.serviceBackMs
     return GroupSettings(
-        election_timeout_ms=0.04 * back_ms,
+        election_ms=0.04 * back_ms,
         heartbeat_ms=0.01 * back_ms,
         ping_ms=0.02 * back_ms,
         revoke_ms=config.revokeRatio * back_ms,
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -135,7 +135,7 @@
         },
     }
     if node.depot is not None:
-        told["depot"] = depots.described(node.depot)
+        told["depot"] = depots.describe(node.depot)
     return told
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -40,7 +40,7 @@
     if node.closing and not told.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
     if node.follow.current_ms <= -1e11 or not registries.services(node.floor.registry):
-        return [Reply(token, failures.Stale(int(2 * node.times.election_timeout_ms), 0))]
+        return [Reply(token, failures.Stale(int(2 * node.times.election_ms), 0))]
     found = routes.match(node.floor.registry, told["host"], told["path"])
     age_ms = follows.age(node.follow, now_ms)
     if found is None:
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -68,7 +68,7 @@
                 lambda: Greet(self._node.card, False, (), self._node.peers.group),
                 lambda sender, message: self._queue.put(e.Received(sender, message)),
                 self._note,
-                configs.times(config).election_timeout_ms,
+                configs.times(config).election_ms,
             )
         except OSError as failed:
             raise CannotStart(failures.AddressTaken(config.listen)) from failed
@@ -93,7 +93,7 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.election_due_ms = _now() + _FIRST_ELECT * group.settings.election_timeout_ms * (
+        group.election_due_ms = _now() + _FIRST_ELECT * group.settings.election_ms * (
             1 + random.random()
         )
         return disk, group
@@ -223,14 +223,14 @@
         last = effect.entries[-1]
         claim = self._disk.reserve(effect)
         if effect.inline:
-            took_ms = self._disk.put(claim)
+            took_ms = self._disk.write_reserved(claim)
             self._feed(e.Written(last.index, last.term, took_ms))
         else:
             self._writes.submit(self._put, claim, last)
 
     def _put(self, claim, last):
         try:
-            self._queue.put(e.Written(last.index, last.term, self._disk.put(claim)))
+            self._queue.put(e.Written(last.index, last.term, self._disk.write_reserved(claim)))
         except OSError as failed:
             self._fail(failures.DiskUntrusted("log", str(failed.strerror)))
 
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -65,7 +65,7 @@
             )
         if known not in ("", bootstrap.group):
             return []
-    if now_ms - bootstrap.requested_ms < replica.settings.election_timeout_ms / 2:
+    if now_ms - bootstrap.requested_ms < replica.settings.election_ms / 2:
         return []
     bootstrap.requested_ms = now_ms
     request = (
@@ -94,9 +94,7 @@
 
 def _adopt(replica, now_ms, group, founders):
     replica.group, replica.founders = group, founders
-    replica.election_due_ms = (
-        now_ms + replica.settings.election_timeout_ms * replica.random.random()
-    )
+    replica.election_due_ms = now_ms + replica.settings.election_ms * replica.random.random()
     return [save_persistent_state(replica), Note("founds", {"group": group})]
 
 
--- a/libs/replication/src/replication/catch_up.py
+++ b/libs/replication/src/replication/catch_up.py
@@ -34,9 +34,6 @@
     round_.target, round_.started_ms = index, now_ms
 
 
-def caught_up(round_, now_ms, election_timeout_ms):
+def caught_up(round_, now_ms, election_ms):
     """Return whether the last round was short enough and the current one isn't too long yet."""
-    return (
-        round_.duration_ms < election_timeout_ms
-        and now_ms - round_.started_ms < election_timeout_ms
-    )
+    return round_.duration_ms < election_ms and now_ms - round_.started_ms < election_ms
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -1,8 +1,9 @@
-"""A depot's core: one function that takes an event and returns effects.
+"""The core of a depot, a node that keeps a copy of the log: events in, effects out.
 
-It puts together the group (`election`, `log_replication`, `bootstrap`,
-`reconfiguration`, `leaving`) and, while this depot leads and its term's first entry is
-committed, the leader's duties (`batch_writer`, `leases`, `feed`).
+`handle` dispatches each event to the modules of the replication group (`election`,
+`log_replication`, `bootstrap`, `reconfiguration`, `leaving`).  While this depot leads and the
+first entry of its term is committed, it also serves the other nodes (`batch_writer`,
+`leases`, `feed`).
 """
 
 from dataclasses import dataclass, field
@@ -28,11 +29,13 @@
 )
 from replication.group import Replica, group_card
 
-__all__ = ["Depot", "handle", "described"]
+__all__ = ["Depot", "handle", "describe"]
 
 
 @dataclass
 class Depot:
+    """All state of a depot's core; `leave` is set once the depot was told to stop."""
+
     group: Replica
     shards: int
     card: m.Card
@@ -44,8 +47,11 @@
 
 
 def handle(depot, now_ms, event, cards, known):
-    """`cards` are the peers known by name; `known` is the group that any of
-    them ever spoke of, or nothing."""
+    """Handle an event and return the effects to carry out.
+
+    `cards` holds the cards of the known peers by name; `known` is the name of a group that
+    any of them reported, or "".
+    """
     replica = depot.group
     if isinstance(event, Tick):
         effects = _tick(depot, now_ms, cards, known)
@@ -57,10 +63,10 @@
         depot.leave = depot.leave or leaving.begin(replica, now_ms)
         effects = []
     elif isinstance(event, Received):
-        effects = _receive(depot, now_ms, event.sender, event.message, known)
+        effects = _on_message(depot, now_ms, event.sender, event.message, known)
     else:
         effects = []
-    return effects + _after(depot, now_ms)
+    return effects + _follow_up(depot, now_ms)
 
 
 def _tick(depot, now_ms, cards, known):
@@ -78,7 +84,7 @@
     return effects
 
 
-def _receive(depot, now_ms, sender, message, known):
+def _on_message(depot, now_ms, sender, message, known):
     replica = depot.group
     if isinstance(message, m.AppendEntries):
         return log_following.on_entries(replica, now_ms, sender, message)
@@ -102,7 +108,7 @@
         return leaving.on_request(replica, now_ms, sender, message)
     if isinstance(message, m.LeaveReply):
         return leaving.on_reply(replica, depot.leave, message)
-    return _serve(depot, now_ms, sender, message)
+    return _on_node_message(depot, now_ms, sender, message)
 
 
 def _on_snapshot_message(replica, now_ms, sender, message):
@@ -113,8 +119,8 @@
     return snapshot_sending.on_chunk_reply(replica, now_ms, message)
 
 
-def _serve(depot, now_ms, sender, message):
-    """The log node's duties; any other depot says whom it follows instead."""
+def _on_node_message(depot, now_ms, sender, message):
+    """Serve a node's message as leader; any other depot replies with its leader's address."""
     replica, writer, nodes = depot.group, depot.writer, depot.nodes
     if isinstance(message, m.FeedChunkReply):
         return feed_snapshots.on_chunk_reply(replica, nodes, message)
@@ -128,17 +134,17 @@
         leases.record_contact(nodes, now_ms, message)
         return feed.on_request(replica, nodes, depot.feed_requests, now_ms, sender, message)
     if isinstance(message, m.Append):
-        seen = nodes.contacts.get(message.name)
-        if seen and seen.incarnation == message.incarnation:
-            seen.last_contact_ms = now_ms
+        contact = nodes.contacts.get(message.name)
+        if contact and contact.incarnation == message.incarnation:
+            contact.last_contact_ms = now_ms
         return batch_writer.stage(replica, writer, now_ms, sender, message.section)
     if isinstance(message, m.RecoverAsk):
         return leases.on_recover(replica, writer, sender, message)
     return leases.on_release(replica, writer, nodes, now_ms, message)
 
 
-def _after(depot, now_ms):
-    """What follows any event: open or close the batch writer, write, tell, feed."""
+def _follow_up(depot, now_ms):
+    """Finish any event: start or stop serving, write a batch, report and feed new commits."""
     replica = depot.group
     effects: list = []
     if replica.role != "leader":
@@ -157,14 +163,14 @@
         effects += feed.push(replica, depot.nodes, now_ms)
         effects += feed.answer_requests(replica, depot.feed_requests, now_ms)
         effects += batch_writer.write_due(replica, depot.writer, now_ms)
-        at = batch_writer.wake_at(replica, depot.writer, now_ms)
-        if at is not None:
-            effects.append(Wake(at))
+        wake_ms = batch_writer.wake_at(replica, depot.writer, now_ms)
+        if wake_ms is not None:
+            effects.append(Wake(wake_ms))
     return effects + log_compaction.trim(replica)
 
 
-def described(depot):
-    """What an operator may see of this depot."""
+def describe(depot):
+    """Return the state of this depot that operators may see."""
     replica, writer = depot.group, depot.writer
     return {
         "group": replica.group,
@@ -174,7 +180,7 @@
         "serving": writer.serving,
         "commit": replica.commit,
         "synced": replica.synced,
-        "members": [vars(x) for x in group_card(replica).members],
+        "members": [vars(member) for member in group_card(replica).members],
         "leader": replica.leader_address,
         "batches": writer.batches,
         "records": writer.records,
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -1,10 +1,10 @@
-"""Who leads the depots: pre-votes, vote requests, votes, stepping down.
+"""Leader election among the depots: pre-votes, votes, stepping down, leadership transfer.
 
-A depot first asks whether it would win (a pre-vote, which moves no term), so a
-depot that was cut off disturbs nobody when it comes back; whoever refuses a pre-vote
-tells its own term, so that a fresher log behind in terms can catch up.  A vote is saved
-before it is told.  The leader leaves when a majority has not answered its
-rounds, or when its own disk stalls, and names whom it wants to follow it.
+A candidate starts with a pre-vote, which changes no term, so a depot that was disconnected
+doesn't disrupt the group when it returns.  A refused pre-vote carries the voter's term, so
+that a depot with a newer log but an older term can catch up.  Votes are saved before they are
+sent.  A leader that lost contact with a majority steps down; one whose disk stalls transfers
+leadership to another voter.
 """
 
 from transport.codec import to_bytes
@@ -32,19 +32,19 @@
     "reset_election_timer",
 ]
 
-# At most so many elections of the old leader's silence count when a new one begins, which
-# leaves it one to speak up before its place is given away (see `reconfiguration`).
-_SILENT_ELECTIONS = 3
+# Upper bound, in election timeouts, on the silence of the old leader that a new leader counts
+# from the start.  It leaves the old one a timeout to respond before `reconfiguration`, which
+# waits for four, takes it to be lost.
+_MAX_SILENT_ELECTIONS = 3
 
 
 def reset_election_timer(replica, now_ms):
-    replica.election_due_ms = now_ms + replica.settings.election_timeout_ms * (
-        1 + replica.random.random()
-    )
+    """Schedule the next election after a random time of one to two election timeouts."""
+    replica.election_due_ms = now_ms + replica.settings.election_ms * (1 + replica.random.random())
 
 
 def step_down(replica, term, now_ms):
-    """Become a follower; a newer term is saved before anything else is told."""
+    """Become a follower; a newer term is saved before any other message is sent."""
     effects = []
     if replica.role == "leader":
         effects.append(Note("left-lead", {"term": replica.term}))
@@ -60,46 +60,43 @@
 
 
 def tick(replica, now_ms):
+    """Send heartbeats as leader; start an election otherwise, if one is due."""
     if not replica.group or replica.identity not in members(replica):
         return []
     if replica.role == "leader":
-        return _lead_tick(replica, now_ms)
-    if now_ms < replica.election_due_ms or _stalled(replica, now_ms):
+        return _leader_tick(replica, now_ms)
+    if now_ms < replica.election_due_ms or _disk_stalled(replica, now_ms):
         return []
     reset_election_timer(replica, now_ms)
     replica.role, replica.pre_vote, replica.votes = "candidate", True, {replica.identity}
     replica.leader = replica.leader_address = ""
-    return _request_votes(replica, replica.term + 1, False) + _count(replica, now_ms, False)
+    return _request_votes(replica, replica.term + 1, False) + _count_votes(replica, now_ms, False)
 
 
-def _stalled(replica, now_ms):
-    """Whether a write of ours has been out for longer than an election."""
-    return (
-        bool(replica.writes)
-        and now_ms - replica.writes[0][3] > replica.settings.election_timeout_ms
-    )
+def _disk_stalled(replica, now_ms):
+    """Return whether the oldest unfinished write takes longer than an election timeout."""
+    return bool(replica.writes) and now_ms - replica.writes[0][3] > replica.settings.election_ms
 
 
-def _lead_tick(replica, now_ms):
+def _leader_tick(replica, now_ms):
     voters = members(replica)
-    heard = 1 + sum(
+    responsive = 1 + sum(
         1
-        for i, o in replica.progress.items()
-        if i in voters and now_ms - o.last_contact_ms < 1.5 * replica.settings.election_timeout_ms
+        for identity, peer in replica.progress.items()
+        if identity in voters and now_ms - peer.last_contact_ms < 1.5 * replica.settings.election_ms
     )
     if (
-        heard < majority(replica)
-        and now_ms - replica.leader_since_ms > 1.5 * replica.settings.election_timeout_ms
+        responsive < majority(replica)
+        and now_ms - replica.leader_since_ms > 1.5 * replica.settings.election_ms
     ):
         return step_down(replica, replica.term, now_ms) + [
             Note("majority-silent", {"term": replica.term}),
             Dump("majority-silent"),
         ]
-    if _stalled(replica, now_ms):
-        return [
-            Note("disk-stalled", {"term": replica.term}),
-            Dump("disk-stalled"),
-        ] + transfer_leadership(replica, now_ms)
+    if _disk_stalled(replica, now_ms):
+        return [Note("disk-stalled", {"term": replica.term}), Dump("disk-stalled")] + (
+            transfer_leadership(replica, now_ms)
+        )
     effects = []
     for peer in replica.progress.values():
         if now_ms - peer.sent_ms >= replica.settings.heartbeat_ms:
@@ -107,37 +104,39 @@
     return effects
 
 
-def transfer_leadership(replica, now_ms, heir=None):
-    """Ask a voter to take over, the most caught-up one if none is named; step back."""
+def transfer_leadership(replica, now_ms, successor=None):
+    """Ask a voter to take over, by default the most caught-up one, and step down."""
     if replica.role != "leader":
         return []
-    voters = [o for i, o in replica.progress.items() if i in members(replica)]
+    voters = [peer for identity, peer in replica.progress.items() if identity in members(replica)]
     effects = []
     if voters:
-        most = max(voters, key=lambda o: (o.match, o.last_contact_ms))
-        best = replica.progress.get(heir, most)
-        effects.append(Send(best.address, TransferLeadership(replica.term)))
+        most_caught_up = max(voters, key=lambda peer: (peer.match, peer.last_contact_ms))
+        target = replica.progress.get(successor, most_caught_up)
+        effects.append(Send(target.address, TransferLeadership(replica.term)))
     effects += step_down(replica, replica.term, now_ms)
-    replica.election_due_ms = now_ms + 3 * replica.settings.election_timeout_ms
+    replica.election_due_ms = now_ms + 3 * replica.settings.election_ms
     return effects
 
 
-def _request_votes(replica, term, named):
-    ask = VoteRequest(
+def _request_votes(replica, term, by_transfer):
+    request = VoteRequest(
         replica.group,
         term,
         replica.identity,
         last_index(replica),
         last_term(replica),
         replica.pre_vote,
-        named,
+        by_transfer,
     )
     return [
-        Send(m.address, ask) for i, m in sorted(members(replica).items()) if i != replica.identity
+        Send(m.address, request)
+        for i, m in sorted(members(replica).items())
+        if i != replica.identity
     ]
 
 
-def _count(replica, now_ms, named):
+def _count_votes(replica, now_ms, by_transfer):
     if len(replica.votes & set(members(replica))) < majority(replica):
         return []
     if replica.pre_vote:
@@ -146,13 +145,13 @@
         replica.leader = replica.leader_address = ""
         return (
             [save_persistent_state(replica)]
-            + _request_votes(replica, replica.term, named)
-            + _count(replica, now_ms, named)
+            + _request_votes(replica, replica.term, by_transfer)
+            + _count_votes(replica, now_ms, by_transfer)
         )
-    return _lead(replica, now_ms)
+    return _become_leader(replica, now_ms)
 
 
-def _lead(replica, now_ms):
+def _become_leader(replica, now_ms):
     replica.role, replica.leader, replica.leader_address = (
         "leader",
         replica.identity,
@@ -164,73 +163,83 @@
             m.address,
             m.name,
             last_index(replica) + 1,
-            last_contact_ms=_last_heard(replica, now_ms, i),
+            last_contact_ms=_initial_contact_ms(replica, now_ms, i),
         )
         for i, m in members(replica).items()
         if i != replica.identity
     }
     replica.departures = {}
-    first = [state_machine.term_section(replica.term)]
+    sections = [state_machine.term_section(replica.term)]
     if not replica.state.members and not replica.member_entries:
-        first.append(state_machine.members_section(members(replica)))
+        sections.append(state_machine.members_section(members(replica)))
     replica.term_index = last_index(replica) + 1
     return [
         Note("leads", {"term": replica.term, "index": last_index(replica)})
-    ] + log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(first))))
+    ] + log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(sections))))
 
 
-def _last_heard(replica, now_ms, identity):
-    """A new leader knows how long the old one has been silent, and of no other member."""
+def _initial_contact_ms(replica, now_ms, identity):
+    """Return when a new leader assumes a member's last contact: it knows only how long the
+    old leader has been silent, and assumes `now_ms` for the others."""
     if identity != replica.last_leader:
         return now_ms
     return max(
-        replica.last_contact_ms, now_ms - _SILENT_ELECTIONS * replica.settings.election_timeout_ms
+        replica.last_contact_ms,
+        now_ms - _MAX_SILENT_ELECTIONS * replica.settings.election_ms,
     )
 
 
-def on_vote_request(replica, now_ms, sender, ask):
-    """Vote by the asker's term, log and group alone.
+def on_vote_request(replica, now_ms, sender, request):
+    """Vote by the candidate's term, log and group alone.
 
-    Whether we are a member is for the candidate to know, which counts the votes of its
-    own membership only: ours may be older than the entry that added us.
+    Membership isn't checked here: the voter's log may lack the entry that added it.  The
+    candidate counts only votes of the members that it knows.
     """
-    if not replica.group or ask.group != replica.group:
+    if not replica.group or request.group != replica.group:
         return []
-    if not ask.named and has_live_leader(replica, now_ms):
-        return [Send(sender, VoteReply(replica.term, replica.identity, False, ask.pre_vote))]
+    if not request.named and has_live_leader(replica, now_ms):
+        return [Send(sender, VoteReply(replica.term, replica.identity, False, request.pre_vote))]
     effects = []
-    if not ask.pre_vote and ask.term > replica.term:
-        effects += step_down(replica, ask.term, now_ms)
-    fresh = (ask.last_term, ask.last_index) >= (last_term(replica), last_index(replica))
-    if ask.pre_vote:
-        granted = ask.term > replica.term and fresh and replica.role != "leader"
-        term = ask.term if granted else replica.term
+    if not request.pre_vote and request.term > replica.term:
+        effects += step_down(replica, request.term, now_ms)
+    up_to_date = (request.last_term, request.last_index) >= (
+        last_term(replica),
+        last_index(replica),
+    )
+    if request.pre_vote:
+        granted = request.term > replica.term and up_to_date and replica.role != "leader"
+        term = request.term if granted else replica.term
         return effects + [Send(sender, VoteReply(term, replica.identity, granted, True))]
     granted = (
-        ask.term == replica.term
-        and fresh
-        and replica.voted_for in ("", ask.identity)
+        request.term == replica.term
+        and up_to_date
+        and replica.voted_for in ("", request.identity)
         and replica.role != "leader"
     )
     if granted and not replica.voted_for:
-        replica.voted_for = ask.identity
+        replica.voted_for = request.identity
         effects.append(save_persistent_state(replica))
         reset_election_timer(replica, now_ms)
     return effects + [Send(sender, VoteReply(replica.term, replica.identity, granted, False))]
 
 
 def on_vote_reply(replica, now_ms, reply):
+    """Count a granted vote or pre-vote; step down if the voter is in a newer term."""
     if not reply.granted:
         return step_down(replica, reply.term, now_ms) if reply.term > replica.term else []
-    wanted = replica.term + 1 if replica.pre_vote else replica.term
-    if replica.role != "candidate" or reply.pre_vote != replica.pre_vote or reply.term != wanted:
+    expected_term = replica.term + 1 if replica.pre_vote else replica.term
+    if (
+        replica.role != "candidate"
+        or reply.pre_vote != replica.pre_vote
+        or reply.term != expected_term
+    ):
         return []
     replica.votes.add(reply.identity)
-    return _count(replica, now_ms, False)
+    return _count_votes(replica, now_ms, False)
 
 
 def on_transfer_leadership(replica, now_ms, message):
-    """We were named: ask for votes at once, skipping the pre-vote."""
+    """The leader named this depot as its successor: request votes without a pre-vote."""
     if (
         message.term != replica.term
         or replica.role == "leader"
@@ -239,4 +248,4 @@
         return []
     reset_election_timer(replica, now_ms)
     replica.role, replica.pre_vote, replica.votes = "candidate", True, set(members(replica))
-    return _count(replica, now_ms, True)
+    return _count_votes(replica, now_ms, True)
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -42,7 +42,7 @@
 class GroupSettings:
     """All in ms, ratios of the bounds in config (see pulleyhitch.config)."""
 
-    election_timeout_ms: float
+    election_ms: float
     heartbeat_ms: float
     ping_ms: float
     revoke_ms: float
@@ -188,9 +188,7 @@
 
 
 def has_live_leader(replica, now_ms):
-    return (
-        replica.leader and now_ms - replica.last_contact_ms < replica.settings.election_timeout_ms
-    )
+    return replica.leader and now_ms - replica.last_contact_ms < replica.settings.election_ms
 
 
 def group_card(replica):
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -86,7 +86,7 @@
         return []
     if len(voters) == 1:
         return _end(leave, "no other member")
-    if patient and now_ms - replica.leader_since_ms < replica.settings.election_timeout_ms:
+    if patient and now_ms - replica.leader_since_ms < replica.settings.election_ms:
         return []
     if replica.member_entries and patient:
         return []
@@ -150,10 +150,7 @@
     """As leader: forget who came back or is no member, and count again whom we need."""
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
-        back = (
-            peer
-            and peer.last_contact_ms > departure.requested_ms + replica.settings.election_timeout_ms
-        )
+        back = peer and peer.last_contact_ms > departure.requested_ms + replica.settings.election_ms
         if identity not in members(replica) or (back and identity != replica.identity):
             del replica.departures[identity]
         else:
@@ -202,9 +199,7 @@
     if identity == replica.identity:
         return replica.synced >= index
     peer = replica.progress.get(identity)
-    heard = (
-        peer is not None and now_ms - peer.last_contact_ms < replica.settings.election_timeout_ms
-    )
+    heard = peer is not None and now_ms - peer.last_contact_ms < replica.settings.election_ms
     return heard and 0 < peer.match >= index
 
 
@@ -226,7 +221,7 @@
 
 def learner_is_leaving(replica, peer):
     """Whether a learner asked to leave, and hasn't come back since; it was told that it may."""
-    return peer.last_contact_ms <= peer.leave_requested_ms + replica.settings.election_timeout_ms
+    return peer.last_contact_ms <= peer.leave_requested_ms + replica.settings.election_ms
 
 
 def _successor_in_sight(replica, now_ms):
@@ -235,6 +230,6 @@
         peer.learner
         and identity not in replica.departures
         and not learner_is_leaving(replica, peer)
-        and now_ms - peer.last_contact_ms < replica.settings.election_timeout_ms
+        and now_ms - peer.last_contact_ms < replica.settings.election_ms
         for identity, peer in replica.progress.items()
     )
--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -59,9 +59,7 @@
         now_ms,
     )
     replica.last_leader = message.identity
-    replica.election_due_ms = now_ms + replica.settings.election_timeout_ms * (
-        1 + replica.random.random()
-    )
+    replica.election_due_ms = now_ms + replica.settings.election_ms * (1 + replica.random.random())
     return effects
 
 
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -182,9 +182,7 @@
 
     All that was under way gets the same answer; only the first of them counts, or each
     would have the same entries sent again."""
-    again = (
-        index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_timeout_ms
-    )
+    again = index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_ms
     if again and peer.next > index + 1:
         return []
     peer.rewound_to, peer.rewound_ms = index, now_ms
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -65,7 +65,7 @@
     peer = replica.progress.get(identity)
     return (
         peer is not None
-        and now_ms - peer.last_contact_ms < elections * replica.settings.election_timeout_ms
+        and now_ms - peer.last_contact_ms < elections * replica.settings.election_ms
     )
 
 
@@ -86,7 +86,7 @@
         and identity not in replica.departures
         and not leaving.learner_is_leaving(replica, peer)
         and _heard(replica, now_ms, identity)
-        and catch_up.caught_up(peer.catch_up, now_ms, replica.settings.election_timeout_ms)
+        and catch_up.caught_up(peer.catch_up, now_ms, replica.settings.election_ms)
     ]
     return sorted(ready, key=lambda i: (crowded[depots[i].zone], depots[i].name, i))
 
--- a/libs/simulation/src/simulation/model/machine.py
+++ b/libs/simulation/src/simulation/model/machine.py
@@ -41,7 +41,7 @@
 
     def times(self, first=True):
         return groups.GroupSettings(
-            election_timeout_ms=ELECT_MS,
+            election_ms=ELECT_MS,
             heartbeat_ms=120.0,
             ping_ms=240.0,
             revoke_ms=3000.0,
--- a/libs/simulation/src/simulation/sim/world.py
+++ b/libs/simulation/src/simulation/sim/world.py
@@ -104,7 +104,7 @@
         )
         after_index = groups.read_snapshot_file(files["view"])[0] if files.get("view") else 0
         groups.open_replica(group, files, disks.load(host.disk, after_index))
-        group.election_due_ms = local(world, host) + group.settings.election_timeout_ms * (
+        group.election_due_ms = local(world, host) + group.settings.election_ms * (
             1 + world.random.random()
         )
     incarnation, seed = f"{host.name}.{host.life}", world.random.getrandbits(32)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -72,7 +72,7 @@
             follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
             floor=floors.Floor(SHARDS, registry=registry),
             router=router.Router(TERMS),
-            times=SimpleNamespace(election_timeout_ms=300.0),
+            times=SimpleNamespace(election_ms=300.0),
         )
         self._stamp, self.told = 0, {}
         self.configure(tenants or {})
--- a/tests/test_batch_writer.py
+++ b/tests/test_batch_writer.py
@@ -11,7 +11,7 @@
 from transport.effects import Send, Write
 from transport.messages import Durable, Member, RecoverAsk, Refused, Section, ShardChunkReply
 
-TIMES = dict(election_timeout_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
+TIMES = dict(election_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
 
 
 class Table:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -16,7 +16,7 @@
 from transport.events import Received, Tick, Written
 
 TIMES = replicas.GroupSettings(
-    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
+    election_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
 )
 NAMES = "abc"
 MOST_MESSAGE_BYTES = 2 << 20
--- a/tests/test_disk_log.py
+++ b/tests/test_disk_log.py
@@ -79,7 +79,7 @@
         disk = self.open()
         disk.write(Write((entry(1),), known=0))
         lost = disk.reserve(Write((entry(2),), known=1))
-        disk.put(disk.reserve(Write((entry(3),), known=1)))
+        disk.write_reserved(disk.reserve(Write((entry(3),), known=1)))
         self.assertThat(lost[1], Equals(segment_format.BLOCK_BYTES))
         self.close(disk)
         self.assertThat(self.open().loaded.entries, Equals([entry(1)]))
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -22,7 +22,7 @@
         group.settings = type(group.settings)(**{**vars(group.settings), "placers": placers})
         feeding.follow.position = group.commit
         ask = follower.make_request(feeding.follow, 0.0, feeding.card, "a")
-        depots._receive(feeding.depot, 0.0, "f", ask.message, "g")
+        depots._on_message(feeding.depot, 0.0, "f", ask.message, "g")
         node = feeding.depot.nodes.contacts["f"]
         pushed, since_ms, longest_ms = 0, None, 0.0
         for turn in range(STEPS):
@@ -69,7 +69,7 @@
             if turn % every_ms == 0:
                 ask = follower.make_request(feeding.follow, now_ms, feeding.card, "a").message
                 since[ask.sent_ms] = now_ms
-                effects += depots._receive(feeding.depot, now_ms, "f", ask, "g")
+                effects += depots._on_message(feeding.depot, now_ms, "f", ask, "g")
             effects += feed.answer_requests(replica, requests, now_ms)
             for effect in effects:
                 if isinstance(getattr(effect, "message", None), m.Mark):
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -58,7 +58,7 @@
                 continue
             self._count(effect.message)
             if effect.to == "a":
-                queue += depots._receive(self.depot, self.now_ms, "f", effect.message, "g")
+                queue += depots._on_message(self.depot, self.now_ms, "f", effect.message, "g")
             elif effect.to == "f":
                 queue += self._take(effect.message)
 
@@ -147,7 +147,7 @@
         sent = 0
         for card in cards:
             ask = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
-            found = depots._receive(feeding.depot, 0.0, card.address, ask, "g")
+            found = depots._on_message(feeding.depot, 0.0, card.address, ask, "g")
             sent += sum(isinstance(e.message, m.FeedChunk) for e in found)
         self.assertThat(sent, LessThan(20))
         self.assertThat(sent, GreaterThan(4))
--- a/tests/test_membership_changes.py
+++ b/tests/test_membership_changes.py
@@ -36,9 +36,7 @@
 )
 from transport.replication_messages import SnapshotPart
 
-TIMES = groups.GroupSettings(
-    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=1800.0
-)
+TIMES = groups.GroupSettings(election_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=1800.0)
 HANDLERS = {
     VoteRequest: lambda r, now, sender, m: election.on_vote_request(r, now, sender, m),
     VoteReply: lambda r, now, sender, m: election.on_vote_reply(r, now, m),
@@ -90,7 +88,7 @@
             queue += [(effect.to, e) for e in found]
 
 
-def elect(replicas, span_ms=20 * TIMES.election_timeout_ms):
+def elect(replicas, span_ms=20 * TIMES.election_ms):
     """Let time pass; the name of the leader, if one is found."""
     now_ms = 0.0
     while now_ms < span_ms:
@@ -260,7 +258,7 @@
     disk = disks.Disk(tmp_path, 1 << 20)
     disk.write(Write(tuple(LOG[:2]), known=0))
     disk.reserve(Write(tuple(LOG[2:5]), known=2))
-    disk.put(disk.reserve(Write(tuple(LOG[5:7]), known=2)))
+    disk.write_reserved(disk.reserve(Write(tuple(LOG[5:7]), known=2)))
     snapshot = snapshot_of(5, 3, LOG[:5], "b").body
     disk.write(Install(5, snapshot, restart=False))
     disk._lock.close()
@@ -321,7 +319,7 @@
         acked(leader, "d", max(0, leader.commit - 3), now_ms)
         taken = [w for w in changes(reconfiguration.tick(leader, now_ms, cards)) if w]
     assert taken == ["member-removes"], "the silent member c gives way"
-    assert now_ms < 4.5 * TIMES.election_timeout_ms
+    assert now_ms < 4.5 * TIMES.election_ms
 
 
 def test_a_learner_that_takes_longer_than_an_election_for_a_round_waits():
@@ -329,12 +327,10 @@
     peer = learner_of(leader, "d")
     for now_ms, index in ((100.0, 1), (900.0, 2)):
         acked(leader, "d", index, now_ms)
-    assert not catch_up.caught_up(peer.catch_up, 900.0, TIMES.election_timeout_ms)
+    assert not catch_up.caught_up(peer.catch_up, 900.0, TIMES.election_ms)
     acked(leader, "d", 2, 1000.0)
-    assert catch_up.caught_up(peer.catch_up, 1000.0, TIMES.election_timeout_ms)
-    assert not catch_up.caught_up(peer.catch_up, 1500.0, TIMES.election_timeout_ms), (
-        "nor one that stopped"
-    )
+    assert catch_up.caught_up(peer.catch_up, 1000.0, TIMES.election_ms)
+    assert not catch_up.caught_up(peer.catch_up, 1500.0, TIMES.election_ms), "nor one that stopped"
 
 
 def ask_to_leave(leader, name, now_ms):
@@ -370,7 +366,7 @@
 
 def test_a_leaver_is_counted_while_the_others_are_no_majority():
     leader = committed_leader()
-    now_ms = 3 * TIMES.election_timeout_ms
+    now_ms = 3 * TIMES.election_ms
     acked(leader, "c", 2, now_ms)
     assert ask_to_leave(leader, "c", now_ms) == [], "b is silent: c is needed"
     written(leader, now_ms)
@@ -384,7 +380,7 @@
     acked(leader, "b", 2, 15.0)
     assert ask_to_leave(leader, "c", 20.0) == [LeaveReply("g", "c", False)]
     assert ask_to_leave(leader, "b", 20.0) == []
-    back_ms = 20.0 + 2 * TIMES.election_timeout_ms
+    back_ms = 20.0 + 2 * TIMES.election_ms
     acked(leader, "c", 2, back_ms)
     acked(leader, "b", 2, back_ms)
     leaving.update_departures(leader, back_ms)
@@ -397,7 +393,7 @@
     """d is lost: of a, b and c, of whom two leave, one more must go on being counted, or
     nothing is committed any more and neither is ever replaced."""
     leader = committed_leader("abcd")
-    now_ms = 5 * TIMES.election_timeout_ms
+    now_ms = 5 * TIMES.election_ms
     for name in "bc":
         acked(leader, name, 2, now_ms)
     learner_of(leader, "e", now_ms)
@@ -418,13 +414,13 @@
     """It was told that it may end, since it is none; its place would go to nobody."""
     leader, cards = committed_leader(), {n: depot_card(n) for n in "abcd"}
     learner_of(leader, "d")
-    now_ms = 5 * TIMES.election_timeout_ms
+    now_ms = 5 * TIMES.election_ms
     for name in "bd":
         acked(leader, name, 2, now_ms - 100.0)
         acked(leader, name, 2, now_ms)
     assert ask_to_leave(leader, "d", now_ms) == [LeaveReply("g", "d", True)]
     assert changes(reconfiguration.tick(leader, now_ms, cards)) == []
-    back_ms = now_ms + 2 * TIMES.election_timeout_ms
+    back_ms = now_ms + 2 * TIMES.election_ms
     for name in "bd":
         acked(leader, name, 2, back_ms - 100.0)
         acked(leader, name, 2, back_ms)
@@ -437,7 +433,7 @@
     leader = committed_leader()
     leave = leaving.begin(leader, 10.0)
     assert leaving.tick(leader, leave, 20.0) == []
-    now_ms = TIMES.election_timeout_ms + 10.0
+    now_ms = TIMES.election_ms + 10.0
     for name in "bc":
         acked(leader, name, 2, now_ms)
         ask_to_leave(leader, name, now_ms)
@@ -475,7 +471,7 @@
     """Were it still counted, the loss of the newcomer would leave no majority."""
     leader, cards = committed_leader(), {n: depot_card(n) for n in "abcd"}
     learner_of(leader, "d")
-    now_ms = 4 * TIMES.election_timeout_ms
+    now_ms = 4 * TIMES.election_ms
     for at_ms in (now_ms - 100.0, now_ms):
         acked(leader, "b", 2, at_ms)
         acked(leader, "d", 2, at_ms)
@@ -486,7 +482,7 @@
 def test_no_change_is_proposed_that_those_who_speak_cannot_commit():
     leader, cards = committed_leader(), {n: depot_card(n) for n in "abcd"}
     learner_of(leader, "d")
-    now_ms = 4 * TIMES.election_timeout_ms
+    now_ms = 4 * TIMES.election_ms
     acked(leader, "d", 2, now_ms - 100.0)
     acked(leader, "d", 2, now_ms)
     assert changes(reconfiguration.tick(leader, now_ms, cards)) == []
@@ -506,7 +502,7 @@
         acked(leader, name, 3, 30.0)
     assert changes(reconfiguration.tick(leader, 40.0, cards)) == []
     assert leaving.tick(leader, leave, 40.0) == [], "nobody had the time to tell that it leaves"
-    later_ms = 40.0 + TIMES.election_timeout_ms
+    later_ms = 40.0 + TIMES.election_ms
     for name in "bcd":
         acked(leader, name, 3, later_ms)
     assert changes(reconfiguration.tick(leader, later_ms, cards)) == []
@@ -519,7 +515,7 @@
     leader = committed_leader()
     zones = {"a": "north", "b": "south", "c": "east", "d": "north", "e": "east", "f": "south"}
     cards = {n: depot_card(n, zone) for n, zone in zones.items()}
-    now_ms = 4 * TIMES.election_timeout_ms
+    now_ms = 4 * TIMES.election_ms
     for name in "def":
         learner_of(leader, name, now_ms - 200.0)
     for at_ms in (now_ms - 100.0, now_ms):
@@ -544,7 +540,7 @@
         deliver(heirs, now_ms, "b", election.tick(heirs["b"], now_ms))
         assert heirs["b"].role == "leader"
         last_contact_ms = heirs["b"].progress["a"].last_contact_ms
-        assert last_contact_ms == max(0.0, now_ms - 3 * TIMES.election_timeout_ms)
+        assert last_contact_ms == max(0.0, now_ms - 3 * TIMES.election_ms)
         assert heirs["b"].progress["c"].last_contact_ms == now_ms
 
 
@@ -560,7 +556,7 @@
     assert leader.commit == 2
     ask_to_leave(leader, "b", 15.0)
     assert changes(reconfiguration.tick(leader, 20.0, cards)) == []
-    now_ms = 5 * TIMES.election_timeout_ms
+    now_ms = 5 * TIMES.election_ms
     for name in "be":
         acked(leader, name, 2, now_ms)
     ask_to_leave(leader, "b", now_ms)
@@ -572,10 +568,10 @@
     """The removal of c makes b indispensable: b must have spoken just now."""
     leader, cards = committed_leader(), {n: depot_card(n) for n in "abcd"}
     learner_of(leader, "d")
-    now_ms = 4 * TIMES.election_timeout_ms
+    now_ms = 4 * TIMES.election_ms
     for at_ms in (now_ms - 100.0, now_ms):
         acked(leader, "d", 2, at_ms)
-    acked(leader, "b", 2, now_ms - 0.6 * TIMES.election_timeout_ms)
+    acked(leader, "b", 2, now_ms - 0.6 * TIMES.election_ms)
     assert changes(reconfiguration.tick(leader, now_ms, cards)) == []
     acked(leader, "b", 2, now_ms)
     assert changes(reconfiguration.tick(leader, now_ms, cards)) == ["member-removes"]
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -19,9 +19,7 @@
 from transport.effects import Send, Write
 from transport.messages import Entry, Member, VoteReply, VoteRequest
 
-TIMES = groups.GroupSettings(
-    election_timeout_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0
-)
+TIMES = groups.GroupSettings(election_ms=480.0, heartbeat_ms=120.0, ping_ms=240.0, revoke_ms=3000.0)
 
 
 def entries(first, last):
@@ -79,7 +77,7 @@
         disk._segment_bytes = 0
         lost = disk.reserve(Write(entries(3, 3), known=2))
         kept = disk.reserve(Write(entries(4, 4), known=2))
-        disk.put(kept)
+        disk.write_reserved(kept)
         self.assertThat(lost[0] == kept[0], Equals(False))
         self.close(disk)
         self.lose_power()
@@ -125,7 +123,7 @@
         for ahead in range(1, 6):
             nodes = {"a": depot("a", 10, 2 + ahead), "b": depot("b", 12, 2)}
             now_ms = 0.0
-            while now_ms < 20 * TIMES.election_timeout_ms and "leader" not in [
+            while now_ms < 20 * TIMES.election_ms and "leader" not in [
                 n.role for n in nodes.values()
             ]:
                 for name, node in nodes.items():
--- a/tests/test_power_loss_steps.py
+++ b/tests/test_power_loss_steps.py
@@ -231,7 +231,7 @@
         disk = self.open(folder, segment_bytes=0)
         disk.write(Write((entry(1, 1), entry(2, 1)), known=0))
         disk.reserve(write(3, 1, 2))
-        disk.put(disk.reserve(write(4, 1, 2)))
+        disk.write_reserved(disk.reserve(write(4, 1, 2)))
         disk._lock.close()
         self.assertThat([e.index for e in self.read(folder)[2]], Equals([1, 2]))
         disk = self.open(folder)
@@ -250,7 +250,7 @@
         for index in (1, 2, 3, 4):
             disk.write(write(index, 1, index - 1))
         disk.reserve(write(5, 1, 4))
-        disk.put(disk.reserve(write(6, 1, 4)))
+        disk.write_reserved(disk.reserve(write(6, 1, 4)))
         disk._lock.close()
         self.assertThat([e.index for e in self.read(folder)[2]], Equals([1, 2, 3, 4]))
 
@@ -262,7 +262,7 @@
         for index in range(1, 6):
             disk.write(write(index, 1, 2))
         disk.reserve(write(4, 2, 3))
-        disk.put(disk.reserve(write(5, 2, 3)))
+        disk.write_reserved(disk.reserve(write(5, 2, 3)))
         disk._lock.close()
         terms = [(e.index, e.term) for e in self.read(folder)[2]]
         self.assertThat(terms, Equals([(i, 1) for i in range(1, 6)]))
@@ -275,7 +275,7 @@
             claim = disk.reserve(write(index, 1, index - 1))
             if index % 3 == 0:
                 disk.write(install(index, 1, restart=True))
-            disk.put(claim)
+            disk.write_reserved(claim)
             if index % 2 == 0:
                 disk.write(install(index - 1, 1))
         links = [path for path in Path("/proc/self/fd").iterdir() if path.is_symlink()]
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -75,8 +75,8 @@
     def test_timeouts_follow_the_bounds(self):
         half = config.check({**GOOD, "bounds": {"serviceBackMs": 6000}})
         self.assertThat(
-            config.times(half).election_timeout_ms * 2,
-            Equals(config.times(config.check(GOOD)).election_timeout_ms),
+            config.times(half).election_ms * 2,
+            Equals(config.times(config.check(GOOD)).election_ms),
         )
 
 
--- a/tests/test_register_times.py
+++ b/tests/test_register_times.py
@@ -69,7 +69,7 @@
                 shard_ownership.lease_end(FeedFollower(direct_ms=0.0), times),
                 LessThan(times.revoke_ms),
             )
-            longest_ms = 2 * times.election_timeout_ms + times.revoke_ms + 2 * times.ping_ms
+            longest_ms = 2 * times.election_ms + times.revoke_ms + 2 * times.ping_ms
             self.assertThat(longest_ms, LessThan(float(bounds["acknowledgeMs"])))
 
     def test_every_order_is_acknowledged_in_time(self):
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -27,7 +27,7 @@
         follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
         floor=floors.Floor(4, registry=registry),
         router=router.Router(terms),
-        times=SimpleNamespace(election_timeout_ms=300.0),
+        times=SimpleNamespace(election_ms=300.0),
     )
 
 
