--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -32,9 +32,8 @@
     "reset_election_timer",
 ]
 
-# Upper bound, in election timeouts, on the silence of the old leader that a new leader counts
-# from the start.  It leaves the old one a timeout to respond before `reconfiguration`, which
-# waits for four, takes it to be lost.
+# A new leader assumes at most this much silence of the old one, in election timeouts, which
+# leaves the old one time to respond before it is replaced (see `reconfiguration`).
 _MAX_SILENT_ELECTIONS = 3
 
 
--- a/libs/replication/src/replication/entry_batch.py
+++ b/libs/replication/src/replication/entry_batch.py
@@ -1,16 +1,17 @@
-"""How many entries go in one message: one at least, and not more than some bytes."""
+"""Limits the size of messages that carry log entries."""
 
-__all__ = ["up_to_bytes"]
+__all__ = ["take_up_to_bytes"]
 
 
-def up_to_bytes(entries, most):
-    """(the first of `entries` that have at most so many bytes together, their bytes)."""
-    found: list = []
+def take_up_to_bytes(entries, limit_bytes):
+    """Return the first entries with at most `limit_bytes` together, but at least one, as a
+    tuple, and their total size."""
+    batch: list = []
     total = 0
     for entry in entries:
         size = len(entry.body)
-        if found and total + size > most:
+        if batch and total + size > limit_bytes:
             break
-        found.append(entry)
+        batch.append(entry)
         total += size
-    return tuple(found), total
+    return tuple(batch), total
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -1,9 +1,9 @@
-"""The feed as the log node gives it out.
+"""The leader's side of the feed: it streams committed log entries to the other nodes.
 
-Committed entries are the numbered changes.  A node asks with the place it
-follows from; the answer is a mark, sent once a round that began after the
-ask has been answered by a majority, so whoever gets it knows that everything
-up to the mark's place was current when it asked.
+A node sends requests with the position up to which it has the log.  The leader pushes the
+entries after it, or a snapshot if the log no longer reaches back that far.  Each request is
+answered by a mark once a majority confirmed a heartbeat round that began after the request
+came: all entries up to the mark's position were current when the node asked.
 """
 
 from dataclasses import dataclass, field
@@ -17,90 +17,94 @@
 __all__ = ["PendingRequests", "on_request", "answer_requests", "push"]
 
 _PER_SEND = 128
-# Of the time between two heartbeats: how long a node that holds nothing waits for more news,
-# and how long asks wait for those that come after them.
+# Shortest time, as a part of the heartbeat interval, between two pushes to a node that can't
+# hold a shard, and between two heartbeat rounds for waiting requests.
 _PACE = 0.25
 _BYTES_PER_SEND = 1 << 20
 _WINDOW_BYTES = 2 << 20
-# A link this slow (8 Mbit/s) is not taken for a broken one.
+# 8 Mbit/s: data on a link of this rate is not taken to be lost before it can have arrived.
 _SLOWEST_BYTES_PER_MS = 1000
 
 
 @dataclass
 class PendingRequests:
-    """(sender, Ask, the round that answers it) of each that waits, and when a round for them
-    last began."""
+    """Requests that wait for their round, as (sender, request, number of the round), and when
+    a round last began for them."""
 
     waiting: list = field(default_factory=list)
     round_ms: float = float("-inf")
 
 
-def on_request(replica, nodes, asks, now_ms, sender, ask):
-    """Queue the ask behind a new round, and send what the asker lacks."""
-    node = nodes.contacts[ask.name]
-    _learn_place(replica, node, now_ms, ask.place)
-    asks.waiting.append((sender, ask, replica.round + 1))
-    effects = _begin_round(replica, asks, now_ms)
+def on_request(replica, nodes, requests, now_ms, sender, request):
+    """Queue the request for a new round, and send the node the entries that it lacks."""
+    node = nodes.contacts[request.name]
+    _update_position(replica, node, now_ms, request.place)
+    requests.waiting.append((sender, request, replica.round + 1))
+    effects = _start_round(replica, requests, now_ms)
     feed_snapshots.refresh(replica, nodes, now_ms)
-    if node.transfer and ask.place >= node.transfer.snapshot.id.index:
+    if node.transfer and request.place >= node.transfer.snapshot.id.index:
         feed_snapshots.finish(replica, nodes, node)
     if node.transfer:
         return effects + feed_snapshots.heartbeat(replica, node)
     return effects + push_to(replica, nodes, node, now_ms)
 
 
-def _learn_place(replica, node, now_ms, place):
-    """What was sent before a node's last ask and isn't there by now was lost on the way,
-    unless it is so much that a slow link may still be at it."""
-    node.in_flight = [f for f in node.in_flight if f[0] > place]
-    if place > node.requested_position or not node.in_flight:
+def _update_position(replica, node, now_ms, position):
+    """Update the position of a node from its request, and decide whether to send again.
+
+    Entries sent before the node's previous request that still haven't arrived are taken to be
+    lost, unless so many bytes are in flight that a slow link may still be sending them."""
+    node.in_flight = [f for f in node.in_flight if f[0] > position]
+    if position > node.requested_position or not node.in_flight:
         node.last_progress_ms = now_ms
-    node.requested_position = place
-    patience_ms = _under_way(node) / _SLOWEST_BYTES_PER_MS
-    if place < node.sent_at_request and now_ms - node.last_progress_ms >= patience_ms:
-        node.sent_position, node.in_flight = place, []
-    node.sent_position = max(node.sent_position, place)
+    node.requested_position = position
+    allowed_ms = _bytes_in_flight(node) / _SLOWEST_BYTES_PER_MS
+    if position < node.sent_at_request and now_ms - node.last_progress_ms >= allowed_ms:
+        node.sent_position, node.in_flight = position, []
+    node.sent_position = max(node.sent_position, position)
     node.sent_at_request = node.sent_position
 
 
-def _under_way(node):
+def _bytes_in_flight(node):
     return sum(size for _, size in node.in_flight)
 
 
-def answer_requests(replica, asks, now_ms):
-    """Answer asks whose round is confirmed; start another if some wait on."""
+def answer_requests(replica, requests, now_ms):
+    """Answer the requests whose round is confirmed; start another round if some remain."""
     round_ = log_replication.confirmed_round(replica)
-    ready = [a for a in asks.waiting if a[2] <= round_]
-    asks.waiting = [a for a in asks.waiting if a[2] > round_]
+    confirmed = [waiting for waiting in requests.waiting if waiting[2] <= round_]
+    requests.waiting = [waiting for waiting in requests.waiting if waiting[2] > round_]
     effects = [
-        Send(sender, Mark(ask.sent_ms, replica.term, replica.commit, True))
-        for sender, ask, _ in ready
+        Send(sender, Mark(request.sent_ms, replica.term, replica.commit, True))
+        for sender, request, _ in confirmed
     ]
-    if asks.waiting:
-        begun = _begin_round(replica, asks, now_ms)
-        effects += begun
+    if requests.waiting:
+        started = _start_round(replica, requests, now_ms)
+        effects += started
         if len(replica.progress) == 0 and round_ < replica.round:
-            effects += answer_requests(replica, asks, now_ms)
+            effects += answer_requests(replica, requests, now_ms)
     return effects
 
 
-def _begin_round(replica, asks, now_ms):
-    """A round for the asks that wait, unless one is under way or began just now: hundreds of
-    nodes ask all the time, and one round answers all that asked before it."""
+def _start_round(replica, requests, now_ms):
+    """Start a round for the waiting requests, unless one is in progress or began recently.
+
+    Hundreds of nodes send requests continuously; one round answers all that came before it."""
     if log_replication.confirmed_round(replica) < replica.round:
         return []
-    due_ms = asks.round_ms + _PACE * replica.settings.heartbeat_ms
+    due_ms = requests.round_ms + _PACE * replica.settings.heartbeat_ms
     if replica.progress and now_ms < due_ms:
         return [Wake(due_ms)]
-    asks.round_ms = now_ms
+    requests.round_ms = now_ms
     return log_replication.new_round(replica, now_ms)
 
 
 def push(replica, nodes, now_ms):
-    """Send every known node what was committed since it was last sent to: at once to those
-    that may hold a shard, to the others no more often than `_PACE` allows, since hundreds
-    of them would each be woken by every batch.  What is held back goes with a later call,
-    at the latest that of the next tick."""
+    """Send newly committed entries to the known nodes.
+
+    Nodes that may hold a shard get them at once.  Others get them no more often than `_PACE`
+    allows, since hundreds of nodes would be woken by every batch; the rest follows with a
+    later call, at the latest that of the next tick."""
     settings = replica.settings
     return [
         effect
@@ -115,14 +119,15 @@
 
 
 def push_to(replica, nodes, node, now_ms):
+    """Send a node the next committed entries, or start to send it a snapshot."""
     if node.sent_position >= replica.commit or node.transfer:
         return []
     node.sent_ms = now_ms
     if node.sent_position < replica.base_index:
         return feed_snapshots.start(replica, nodes, node, now_ms)
-    if _under_way(node) >= _WINDOW_BYTES:
+    if _bytes_in_flight(node) >= _WINDOW_BYTES:
         return []
-    entries, size = _due(replica, node.sent_position + 1)
+    entries, size = _entries_due(replica, node.sent_position + 1)
     if not node.in_flight:
         node.last_progress_ms = now_ms
     node.sent_position = entries[-1].index
@@ -130,9 +135,9 @@
     return [Send(node.address, FeedItems(replica.term, node.sent_position, entries))]
 
 
-def _due(replica, first):
-    """(the entries from `first` on that go in one message, their bytes)."""
+def _entries_due(replica, first):
+    """Return the entries from `first` on that fit into one message, and their total size."""
     last = min(replica.commit, first + _PER_SEND - 1)
-    return entry_batch.up_to_bytes(
+    return entry_batch.take_up_to_bytes(
         (entry_at(replica, index) for index in range(first, last + 1)), _BYTES_PER_SEND
     )
--- a/libs/replication/src/replication/feed_snapshots.py
+++ b/libs/replication/src/replication/feed_snapshots.py
@@ -1,4 +1,4 @@
-"""The log node gives its state to followers that the feed's entries no longer reach."""
+"""Snapshots for feed followers that are behind the oldest entry in the leader's log."""
 
 from transport.effects import Send
 from transport.messages import FeedChunk
@@ -8,25 +8,26 @@
 
 __all__ = ["finish", "heartbeat", "on_chunk_reply", "refresh", "start"]
 
-# Of all followers that start at once; each has up to a window of chunks on its way.
-_AT_ONCE = 16
-# A follower that is silent for so many pings keeps its place no longer; it holds what it
-# has, and goes on from there if it is asked for the same snapshot.
+# Limit on concurrent transfers; each has up to a window of chunks in flight.
+_MAX_TRANSFERS = 16
+# After this many ping intervals of silence a follower's transfer is dropped.  The follower
+# keeps the bytes that it has, and continues there if the same snapshot is sent to it again.
 _SILENT_PINGS = 40
-_STATE_AT = 16
+# The state begins here in a snapshot file, after the entry's index and term.
+_STATE_OFFSET = 16
 
 
 def start(replica, nodes, node, now_ms):
-    """Begin to send a follower the state, unless too many are at it."""
-    _drop_silent(replica, nodes, now_ms)
-    if sum(n.transfer is not None for n in nodes.contacts.values()) >= _AT_ONCE:
+    """Start to send a follower a snapshot, unless too many transfers are in progress."""
+    _drop_silent_nodes(replica, nodes, now_ms)
+    if sum(n.transfer is not None for n in nodes.contacts.values()) >= _MAX_TRANSFERS:
         return []
-    node.transfer = snapshot_transfer.Outgoing(_pinned(replica, nodes))
-    _retain(replica, nodes)
+    node.transfer = snapshot_transfer.Outgoing(_shared_snapshot(replica, nodes))
+    _update_retention(replica, nodes)
     return heartbeat(replica, node)
 
 
-def _drop_silent(replica, nodes, now_ms):
+def _drop_silent_nodes(replica, nodes, now_ms):
     for node in nodes.contacts.values():
         if (
             node.transfer
@@ -35,26 +36,26 @@
             node.transfer = None
 
 
-def _pinned(replica, nodes):
-    """The one snapshot for all followers that need one, while any of them does."""
-    pinned = nodes.pinned_snapshot
-    if pinned is None or pinned.id.index < replica.base_index:
+def _shared_snapshot(replica, nodes):
+    """Return the snapshot that all current transfers share; it is kept until the last ends."""
+    snapshot = nodes.pinned_snapshot
+    if snapshot is None or snapshot.id.index < replica.base_index:
         term = term_at(replica, replica.commit)
-        body = snapshot_file(replica)[_STATE_AT:]
-        pinned = snapshot_transfer.make_snapshot(replica.commit, term, body)
-        nodes.pinned_snapshot = pinned
-    return pinned
+        body = snapshot_file(replica)[_STATE_OFFSET:]
+        snapshot = snapshot_transfer.make_snapshot(replica.commit, term, body)
+        nodes.pinned_snapshot = snapshot
+    return snapshot
 
 
 def refresh(replica, nodes, now_ms):
-    """Forget transfers to followers that are silent, or were started anew."""
+    """Drop the transfers to followers that are silent or have restarted."""
     if replica.feed_retained_index is not None:
-        _drop_silent(replica, nodes, now_ms)
-        _retain(replica, nodes)
+        _drop_silent_nodes(replica, nodes, now_ms)
+        _update_retention(replica, nodes)
 
 
-def _retain(replica, nodes):
-    """Have the log keep what follows the snapshots under way."""
+def _update_retention(replica, nodes):
+    """Make the log retain the entries after the snapshots that are being sent."""
     sending = [n.transfer for n in nodes.contacts.values() if n.transfer]
     replica.feed_retained_index = min((t.snapshot.id.index for t in sending), default=None)
     if not sending:
@@ -62,17 +63,17 @@
 
 
 def heartbeat(replica, node):
-    """What is due to a follower that was heard of: a probe at least."""
+    """Return the chunks due to a follower that sent a request, or a probe if there are none."""
     chunks = snapshot_transfer.chunks_due(node.transfer)
-    return _messages(replica, node, chunks or [snapshot_transfer.probe(node.transfer)])
+    return _chunk_messages(replica, node, chunks or [snapshot_transfer.probe(node.transfer)])
 
 
-def _messages(replica, node, chunks):
+def _chunk_messages(replica, node, chunks):
     return [Send(node.address, FeedChunk(replica.term, chunk)) for chunk in chunks]
 
 
 def on_chunk_reply(replica, nodes, reply):
-    """A follower told how much it holds: send what is due now."""
+    """Handle a follower's acknowledgement and send the chunks that are due."""
     node = nodes.contacts.get(reply.name)
     if node is None or node.transfer is None:
         return []
@@ -80,10 +81,10 @@
         node.sent_position = max(node.sent_position, reply.ack.snapshot.index)
         finish(replica, nodes, node)
         return []
-    return _messages(replica, node, snapshot_transfer.chunks_due(node.transfer))
+    return _chunk_messages(replica, node, snapshot_transfer.chunks_due(node.transfer))
 
 
 def finish(replica, nodes, node):
-    """The follower has the state; the snapshot goes once nobody needs it."""
+    """End a transfer whose follower has the snapshot; drop the snapshot after the last one."""
     node.transfer = None
-    _retain(replica, nodes)
+    _update_retention(replica, nodes)
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -191,7 +191,7 @@
     if follower.recent and follower.recent[0].index <= place + 1:
         follower.relay_transfers.pop(sender, None)
         due = (entry for entry in follower.recent if entry.index > place)
-        entries, _ = entry_batch.up_to_bytes(due, _BYTES_PER_SEND)
+        entries, _ = entry_batch.take_up_to_bytes(due, _BYTES_PER_SEND)
         return [Send(sender, FeedItems(follower.term, entries[-1].index, entries))]
     _drop_old(follower, now_ms)
     relayed = follower.relay_transfers.get(sender)
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -118,7 +118,7 @@
     batch = ()
     if _window_open(peer) and not lacks_entries:
         start = first - replica.base_index - 1
-        batch, size = entry_batch.up_to_bytes(
+        batch, size = entry_batch.take_up_to_bytes(
             replica.log[start : start + _PER_SEND], _BYTES_PER_SEND
         )
     if batch:
