--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -1,10 +1,10 @@
-"""Following the feed: how any node comes to the current state, and knows it.
+"""A node's side of the feed: it keeps a copy of the replicated state and knows how old it is.
 
-A follower applies numbered entries in order, starting from a snapshot where the
-log no longer reaches back.  It never goes back to an older place.  Its age is
-measured on its own clock from the moment it *sent* the ask whose mark it has
-caught up with.  Nodes that cannot reach the log node ask peers, who answer
-once their own mark is newer than the question.
+A feed follower applies log entries in order, after a snapshot if the leader's log no longer
+reaches back far enough.  Its position never goes back.  The age of its state is measured on
+its own clock, from the time when it *sent* the request whose mark it has caught up with.  A
+node that can't reach the leader asks peers, which relay entries and marks once their own
+state is newer than the request.
 """
 
 from collections import deque
@@ -37,18 +37,18 @@
     "answer_relays",
 ]
 
-_RECENT = 512
+_RECENT_ENTRIES = 512
 _RECENT_BYTES = 8 << 20
 _BYTES_PER_SEND = 1 << 20
-# How long a sender of the state may be silent before another's is taken instead.
-_PATIENCE_MS = 2000.0
-_RELAYS_AT_ONCE = 4
-_RELAY_MS = 10_000.0
+# A snapshot from another sender is accepted once the current one was silent for this long.
+_SENDER_TIMEOUT_MS = 2000.0
+_MAX_RELAY_TRANSFERS = 4
+_RELAY_TIMEOUT_MS = 10_000.0
 
 
 @dataclass
 class RelayTransfer:
-    """Our state on its way to a peer, and when that was last heard of."""
+    """A snapshot being sent to a peer, and the time of the peer's last message about it."""
 
     outgoing: snapshot_transfer.Outgoing
     last_contact_ms: float = -1e12
@@ -56,6 +56,12 @@
 
 @dataclass
 class FeedFollower:
+    """A node's copy of the state, at log position `position`.
+
+    The state was current at `current_ms`, by a mark of the leader or of a relaying peer;
+    `direct_ms` is the same by marks of the leader alone.  `marks` holds marks that are ahead
+    of the position, and `recent` the entries that can be relayed."""
+
     position: int = 0
     term: int = 0
     snapshot_term: int = 0
@@ -73,13 +79,14 @@
 
 @dataclass(frozen=True)
 class FeedUpdate:
-    """Sections that counted, in order; or `rebuilt` when a snapshot replaced all."""
+    """The sections that changed the state, in order, or `rebuilt` if a snapshot replaced it."""
 
     sections: tuple = ()
     rebuilt: bool = False
 
 
 def make_request(follower, now_ms, card, to):
+    """Return the effect that sends a feed request, which is also the node's ping."""
     follower.requested_ms = now_ms
     return Send(
         to,
@@ -96,69 +103,73 @@
 
 
 def age(follower, now_ms):
+    """Return for how long, in ms, the state hasn't been known to be current."""
     return now_ms - follower.current_ms
 
 
 def on_items(follower, message):
+    """Apply the entries that follow the current position."""
     sections = []
     for entry in message.entries:
         if entry.index != follower.position + 1:
             continue
         sections += state_machine.apply_body(follower.state, entry.body, entry.index)
         follower.position = entry.index
-        _remember(follower, entry)
-    _settle(follower)
+        _keep_recent(follower, entry)
+    _apply_marks(follower)
     return FeedUpdate(tuple(sections))
 
 
-def _remember(follower, entry):
-    """Keep the newest entries for peers who ask, within some bytes."""
+def _keep_recent(follower, entry):
+    """Keep the newest entries for peers, limited in number and bytes."""
     follower.recent.append(entry)
     follower.recent_bytes += len(entry.body)
-    while len(follower.recent) > _RECENT or follower.recent_bytes > _RECENT_BYTES:
+    while len(follower.recent) > _RECENT_ENTRIES or follower.recent_bytes > _RECENT_BYTES:
         follower.recent_bytes -= len(follower.recent.popleft().body)
 
 
 def on_chunk(follower, now_ms, name, sender, message):
-    """Take a chunk of the state: (effects, FeedUpdate)."""
+    """Handle a chunk of a snapshot; returns (effects, FeedUpdate)."""
     chunk = message.chunk
     if _already_applied(follower, chunk.snapshot.index):
         ack = ChunkAck(chunk.snapshot, chunk.sequence, chunk.snapshot.size)
         return [Send(sender, FeedChunkReply(name, ack))], FeedUpdate()
-    ack, whole = snapshot_transfer.on_chunk(follower.incoming, chunk, now_ms, _PATIENCE_MS)
+    ack, body = snapshot_transfer.on_chunk(follower.incoming, chunk, now_ms, _SENDER_TIMEOUT_MS)
     effects = [Send(sender, FeedChunkReply(name, ack))] if ack else []
-    if whole is None:
+    if body is None:
         return effects, FeedUpdate()
     follower.incoming = snapshot_transfer.Incoming()
-    snapshot = FeedSnapshot(message.term, chunk.snapshot.index, chunk.snapshot.term, whole)
+    snapshot = FeedSnapshot(message.term, chunk.snapshot.index, chunk.snapshot.term, body)
     return effects, on_snapshot(follower, snapshot)
 
 
-def _already_applied(follower, place):
-    return place <= follower.position
+def _already_applied(follower, position):
+    return position <= follower.position
 
 
 def on_snapshot(follower, message):
+    """Replace the state by a snapshot that is ahead of it."""
     if _already_applied(follower, message.place):
         return FeedUpdate()
     follower.state, follower.position = state_machine.restore(message.body), message.place
     follower.snapshot_term = message.snapshot_term
     follower.recent.clear()
     follower.recent_bytes = 0
-    _settle(follower)
+    _apply_marks(follower)
     return FeedUpdate(rebuilt=True)
 
 
 def on_mark(follower, mark):
+    """Record that the mark's position was current when the request was sent."""
     follower.term = max(follower.term, mark.term)
     if mark.direct:
         follower.direct_ms = max(follower.direct_ms, mark.sent_ms)
     follower.marks.append((mark.sent_ms, mark.place))
-    _settle(follower)
+    _apply_marks(follower)
 
 
-def _settle(follower):
-    reached = [sent_ms for sent_ms, place in follower.marks if place <= follower.position]
+def _apply_marks(follower):
+    reached = [sent_ms for sent_ms, position in follower.marks if position <= follower.position]
     if reached:
         follower.current_ms = max(follower.current_ms, *reached)
     follower.marks = [
@@ -167,70 +178,70 @@
 
 
 def on_relay_request(follower, now_ms, sender, message):
-    """A peer without the log node asks us: answer once we know better."""
+    """Queue the request of a peer that can't reach the leader."""
     follower.relay_requests = [r for r in follower.relay_requests if r[0] != sender][-32:]
     follower.relay_requests.append((sender, message, now_ms))
     return []
 
 
 def answer_relays(follower, now_ms):
-    """Answer the peers whose question is older than our newest mark."""
+    """Answer the relay requests that came before the time at which this state was current."""
     effects = []
-    for sender, asked, at_ms in follower.relay_requests:
-        if follower.current_ms < at_ms:
+    for sender, request, received_ms in follower.relay_requests:
+        if follower.current_ms < received_ms:
             continue
-        if asked.place < follower.position:
-            effects += _catch_up(follower, now_ms, sender, asked.place)
-        effects.append(Send(sender, Mark(asked.sent_ms, follower.term, follower.position, False)))
+        if request.place < follower.position:
+            effects += _entries_or_snapshot(follower, now_ms, sender, request.place)
+        effects.append(Send(sender, Mark(request.sent_ms, follower.term, follower.position, False)))
     follower.relay_requests = [r for r in follower.relay_requests if follower.current_ms < r[2]]
     return effects
 
 
-def _catch_up(follower, now_ms, sender, place):
-    """What a peer at `place` lacks: entries, or the state if we don't have them all."""
-    if follower.recent and follower.recent[0].index <= place + 1:
+def _entries_or_snapshot(follower, now_ms, sender, position):
+    """Return messages with the entries after `position`, or a snapshot if some aren't kept."""
+    if follower.recent and follower.recent[0].index <= position + 1:
         follower.relay_transfers.pop(sender, None)
-        due = (entry for entry in follower.recent if entry.index > place)
+        due = (entry for entry in follower.recent if entry.index > position)
         entries, _ = entry_batch.take_up_to_bytes(due, _BYTES_PER_SEND)
         return [Send(sender, FeedItems(follower.term, entries[-1].index, entries))]
-    _drop_old(follower, now_ms)
-    relayed = follower.relay_transfers.get(sender)
-    if relayed is None or relayed.outgoing.snapshot.id.index <= place:
-        if relayed is None and len(follower.relay_transfers) >= _RELAYS_AT_ONCE:
+    _drop_silent_transfers(follower, now_ms)
+    transfer = follower.relay_transfers.get(sender)
+    if transfer is None or transfer.outgoing.snapshot.id.index <= position:
+        if transfer is None and len(follower.relay_transfers) >= _MAX_RELAY_TRANSFERS:
             return []
-        relayed = RelayTransfer(snapshot_transfer.Outgoing(_state(follower)))
-        follower.relay_transfers[sender] = relayed
-    relayed.last_contact_ms = now_ms
-    chunks = snapshot_transfer.chunks_due(relayed.outgoing)
-    chunks = chunks or [snapshot_transfer.probe(relayed.outgoing)]
+        transfer = RelayTransfer(snapshot_transfer.Outgoing(_relay_snapshot(follower)))
+        follower.relay_transfers[sender] = transfer
+    transfer.last_contact_ms = now_ms
+    chunks = snapshot_transfer.chunks_due(transfer.outgoing)
+    chunks = chunks or [snapshot_transfer.probe(transfer.outgoing)]
     return [Send(sender, FeedChunk(follower.term, chunk)) for chunk in chunks]
 
 
-def _drop_old(follower, now_ms):
-    for sender, relayed in list(follower.relay_transfers.items()):
-        if now_ms - relayed.last_contact_ms > _RELAY_MS:
+def _drop_silent_transfers(follower, now_ms):
+    for sender, transfer in list(follower.relay_transfers.items()):
+        if now_ms - transfer.last_contact_ms > _RELAY_TIMEOUT_MS:
             del follower.relay_transfers[sender]
 
 
-def _state(follower):
-    """Our state as a snapshot; one that is on its way to another peer, if it is new
-    enough for the entries that we keep to follow on it."""
+def _relay_snapshot(follower):
+    """Return a snapshot for relaying: one that is being sent to another peer, if the kept
+    entries continue from it, or a new one of the current state."""
     oldest = follower.recent[0].index if follower.recent else follower.position + 1
-    for relayed in follower.relay_transfers.values():
-        if relayed.outgoing.snapshot.id.index >= oldest - 1:
-            return relayed.outgoing.snapshot
+    for transfer in follower.relay_transfers.values():
+        if transfer.outgoing.snapshot.id.index >= oldest - 1:
+            return transfer.outgoing.snapshot
     body = state_machine.snapshot(follower.state)
     return snapshot_transfer.make_snapshot(follower.position, follower.snapshot_term, body)
 
 
 def on_chunk_reply(follower, now_ms, sender, reply):
-    """A peer told how much of our state it holds: send what is due now."""
-    relayed = follower.relay_transfers.get(sender)
-    if relayed is None:
+    """Handle a peer's acknowledgement and send the chunks that are due."""
+    transfer = follower.relay_transfers.get(sender)
+    if transfer is None:
         return []
-    relayed.last_contact_ms = now_ms
-    if snapshot_transfer.on_ack(relayed.outgoing, reply.ack):
+    transfer.last_contact_ms = now_ms
+    if snapshot_transfer.on_ack(transfer.outgoing, reply.ack):
         del follower.relay_transfers[sender]
         return []
-    chunks = snapshot_transfer.chunks_due(relayed.outgoing)
+    chunks = snapshot_transfer.chunks_due(transfer.outgoing)
     return [Send(sender, FeedChunk(follower.term, chunk)) for chunk in chunks]
--- a/libs/simulation/src/simulation/mutants_of_control.py
+++ b/libs/simulation/src/simulation/mutants_of_control.py
@@ -45,7 +45,7 @@
         lambda d: [step(2000, "cut-one-way", f"c{i}", 6000) for i in (0, 1)],
         lambda: [
             (follower, "_already_applied", breaking.never_reached),
-            (follower, "_catch_up", breaking.older),
+            (follower, "_entries_or_snapshot", breaking.older),
         ],
     ),
     Mutant(
