--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -81,8 +81,9 @@
     voters = members(replica)
     responsive = 1 + sum(
         1
-        for identity, peer in replica.progress.items()
-        if identity in voters and now_ms - peer.last_contact_ms < 1.5 * replica.settings.election_ms
+        for identity, progress in replica.progress.items()
+        if identity in voters
+        and now_ms - progress.last_contact_ms < 1.5 * replica.settings.election_ms
     )
     if (
         responsive < majority(replica)
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -1,8 +1,8 @@
-"""The replication group's state, and the small questions asked of it.
+"""State of a depot's replica of the group's log, and simple queries on it.
 
-The log's entries are the batches of the shared log.  Terms are numbered;
-every promise is saved before it is told.  `election`, `log_replication` and `batch_writer`
-work on this state; they return effects and never touch a clock or a socket.
+The other modules of the Raft group (`election`, `log_replication` and so on) work on this state
+and return effects; they use neither a clock nor a socket.  Term and vote are saved before any
+message that depends on them is sent.
 """
 
 import random
@@ -40,7 +40,11 @@
 
 @dataclass(frozen=True)
 class GroupSettings:
-    """All in ms, ratios of the bounds in config (see pulleyhitch.config)."""
+    """Settings of a group; `pulleyhitch.config` derives them from the configured bounds.
+
+    `revoke_ms` is the silence after which a lease is revoked, `inline_ms` the longest time of a
+    write after which the next batch is written at once, `in_flight` the limit of batches in
+    flight, `depots` the number of voters, `placers` the role of nodes that may hold leases."""
 
     election_ms: float
     heartbeat_ms: float
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True)
 class PersistentState:
-    """What must outlive the process: saved, synced, before it is told."""
+    """Raft's persistent state other than the log, in the file "promise"."""
 
     group: str
     term: int
@@ -69,8 +73,9 @@
 
 @dataclass
 class PeerProgress:
-    """What a leader knows of another depot.  `leaves_ms`: when it last asked to leave though
-    it is no member."""
+    """What a leader knows of another depot: Raft's nextIndex and matchIndex, the last heartbeat
+    round answered, (last index, bytes) of each message in flight.  `rewound_ms`: when `next` was
+    last moved back; `leave_requested_ms`: when it asked to leave though it isn't a member."""
 
     address: str
     name: str
@@ -90,6 +95,13 @@
 
 @dataclass
 class Replica:
+    """A depot's copy of the log and its part in the group.
+
+    `log` has the entries after `base_index`: on this disk up to `synced`, known to match the
+    leader's up to `verified`, applied to `state` up to `commit`.  `writes` has unfinished writes
+    as [last index, term, done, started at], `member_entries` uncommitted memberships as
+    (index, members); `progress` and `departures` are a leader's, by identity."""
+
     name: str
     identity: str
     address: str
@@ -152,7 +164,7 @@
 
 
 def members(replica):
-    """The newest membership in the log, committed or not."""
+    """Return the newest membership in the log, committed or not."""
     if replica.member_entries:
         return replica.member_entries[-1][1]
     return replica.state.members or {m.identity: m for m in replica.founders}
@@ -163,24 +175,24 @@
 
 
 def counted_voters(replica):
-    """The voters whose acknowledgements move the commit: all but those that leave and
-    were set aside (see `leaving`)."""
-    aside = {i for i, d in replica.departures.items() if d.uncounted_from is not None}
-    return members(replica).keys() - aside
+    """Return the voters that count for commits: not those about to leave (see `leaving`)."""
+    uncounted = {i for i, d in replica.departures.items() if d.uncounted_from is not None}
+    return members(replica).keys() - uncounted
 
 
 def learn_members(replica, entry):
-    """Note a membership record in an entry just added to the log."""
+    """Take over the membership from an entry just added to the log, if it holds one."""
     if b'"identity"' not in entry.body:
         return
     for section in from_bytes(Batch, entry.body).sections:
         if section.kind == state_machine.MEMBERS:
-            probe = state_machine.StateMachine()
-            state_machine.apply(probe, section, entry.index)
-            replica.member_entries.append((entry.index, probe.members))
+            parsed = state_machine.StateMachine()
+            state_machine.apply(parsed, section, entry.index)
+            replica.member_entries.append((entry.index, parsed.members))
 
 
 def save_persistent_state(replica):
+    """Return the effect that saves the term, the vote and the founders."""
     return Save(
         "promise",
         to_bytes(PersistentState(replica.group, replica.term, replica.voted_for, replica.founders)),
@@ -188,10 +200,12 @@
 
 
 def has_live_leader(replica, now_ms):
+    """Return whether the leader was in contact within the last election timeout."""
     return replica.leader and now_ms - replica.last_contact_ms < replica.settings.election_ms
 
 
 def group_card(replica):
+    """Return the membership as it is sent to other nodes."""
     stamp = replica.member_entries[-1][0] if replica.member_entries else replica.state.members_stamp
     leader = replica.address if replica.role == "leader" else replica.leader_address
     return GroupCard(
@@ -204,22 +218,24 @@
 
 
 def snapshot_file(replica):
+    """Return a snapshot file: index and term of the last applied entry, then the state."""
     return struct.pack(
         ">QQ", replica.commit, term_at(replica, replica.commit)
     ) + state_machine.snapshot(replica.state)
 
 
 def read_snapshot_file(body):
+    """Split a snapshot file into (index, term, state)."""
     index, term = struct.unpack(">QQ", body[:16])
     return index, term, body[16:]
 
 
 def open_replica(replica, files, entries):
-    """Bring a group up from what its folder held."""
+    """Restore a replica from the files and log entries of its data folder."""
     if files.get("promise"):
-        kept = from_bytes(PersistentState, files["promise"])
-        replica.group, replica.term, replica.voted_for = kept.group, kept.term, kept.voted_for
-        replica.founders = kept.founders
+        saved = from_bytes(PersistentState, files["promise"])
+        replica.group, replica.term, replica.voted_for = saved.group, saved.term, saved.voted_for
+        replica.founders = saved.founders
     if files.get("view"):
         replica.snapshot_bytes = len(files["view"])
         replica.base_index, replica.base_term, body = read_snapshot_file(files["view"])
@@ -227,7 +243,7 @@
         replica.commit = replica.snapshot_index = replica.base_index
     for entry in entries:
         if entry.term < last_term(replica):
-            break  # Left over from a log that the snapshot replaced.
+            break  # This entry belongs to a log that the snapshot replaced.
         replica.log.append(entry)
         learn_members(replica, entry)
     replica.synced = last_index(replica)
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -40,7 +40,7 @@
 
     position: int
     body: bytes
-    sent_ms: float = -1e12
+    last_sent_ms: float = -1e12
 
 
 @dataclass
@@ -200,9 +200,9 @@
     if confirmed_at >= prepared.position:
         log.checkpoint_at, log.prepared = confirmed_at, None
         return []
-    if now_ms - prepared.sent_ms < retry_ms:
+    if now_ms - prepared.last_sent_ms < retry_ms:
         return []
-    prepared.sent_ms = now_ms
+    prepared.last_sent_ms = now_ms
     section = Section(
         log.shard, log.epoch, state_machine.CHECKPOINT, prepared.position, (prepared.body,)
     )
