--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -1,10 +1,11 @@
-"""Who holds which shard: choosing, revoking, recovering.
-
-Leases are records of the log, so epochs never go back whoever leads.  A
-holder that is silent too long, that takes in nothing of what it is sent for as
-long (it may still speak), that restarted, or that says it is stopping, is
-followed by the live counter that a rendezvous hash names, or by the one the
-holder named.  Time in which this node itself did not run is nobody's silence.
+"""Leases of shards: the leader grants and revokes them and sends holders their shards.
+
+Leases are records of the log, so a shard's epoch never goes back when the leader changes.  A
+lease is granted anew when its holder was silent for too long, received nothing for as long
+(even if it still sends), restarted, or released the lease because it is stopping.  The new
+holder is the one that the old holder named, or a live counter (a node that routes requests)
+chosen by rendezvous hashing.  Time in which the leader's own process was paused doesn't count
+as silence.
 """
 
 from dataclasses import dataclass, field
@@ -28,6 +29,13 @@
 
 @dataclass
 class NodeContact:
+    """What the leader knows of a node that sends it feed requests.
+
+    `answered_ms` is when, by the node's clock, it sent its last request that was answered;
+    `last_received_ms` is when this last advanced, by the leader's clock.  `sent_position` is the
+    log position up to which entries were sent, and `in_flight` holds (position, bytes) of those
+    not yet confirmed.  `last_progress_ms`: when its requested position last advanced."""
+
     address: str
     incarnation: str
     role: str
@@ -46,7 +54,7 @@
 
 @dataclass
 class Recovery:
-    """A shard on its way to the holder of a lease."""
+    """The transfer of a shard's content to the holder of its lease."""
 
     epoch: int
     outgoing: snapshot_transfer.Outgoing
@@ -54,33 +62,40 @@
 
 @dataclass
 class NodeTable:
+    """The nodes known to the leader by name, and the time of its last tick."""
+
     contacts: dict = field(default_factory=dict)
     pinned_snapshot: snapshot_transfer.Snapshot | None = None
     tick_ms: float = -1.0
 
 
-def record_contact(nodes, now_ms, ask):
-    old = nodes.contacts.get(ask.name)
-    if old is None or old.incarnation != ask.incarnation:
-        nodes.contacts[ask.name] = NodeContact(
-            ask.address,
-            ask.incarnation,
-            ask.role,
+def record_contact(nodes, now_ms, request):
+    """Update the contact of the node that sent a feed request."""
+    contact = nodes.contacts.get(request.name)
+    if contact is None or contact.incarnation != request.incarnation:
+        nodes.contacts[request.name] = NodeContact(
+            request.address,
+            request.incarnation,
+            request.role,
             now_ms,
-            ask.place,
-            ask.answered_ms,
+            request.place,
+            request.answered_ms,
             now_ms,
-            sent_position=ask.place,
+            sent_position=request.place,
         )
         return
-    old.last_contact_ms, old.address, old.position = now_ms, ask.address, ask.place
-    old.role = ask.role
-    if ask.answered_ms > old.answered_ms:
-        old.answered_ms, old.last_received_ms = ask.answered_ms, now_ms
+    contact.last_contact_ms, contact.address, contact.position = (
+        now_ms,
+        request.address,
+        request.place,
+    )
+    contact.role = request.role
+    if request.answered_ms > contact.answered_ms:
+        contact.answered_ms, contact.last_received_ms = request.answered_ms, now_ms
 
 
 def discount_pause(replica, nodes, now_ms):
-    """If we did not run for a while, shift what we judge silence by."""
+    """After a pause of this process, move contact times forward, so it isn't taken for silence."""
     gap_ms = now_ms - nodes.tick_ms if nodes.tick_ms >= 0 else 0.0
     if gap_ms > 2 * replica.settings.heartbeat_ms:
         for node in nodes.contacts.values():
@@ -89,82 +104,96 @@
     nodes.tick_ms = now_ms
 
 
-def _live(replica, nodes, now_ms):
+def _eligible_nodes(replica, nodes, now_ms):
     return [
         name
-        for name, s in sorted(nodes.contacts.items())
-        if s.role == replica.settings.placers
-        and now_ms - s.last_contact_ms < 2.5 * replica.settings.ping_ms
-        and now_ms - s.last_received_ms < 5 * replica.settings.ping_ms
+        for name, contact in sorted(nodes.contacts.items())
+        if contact.role == replica.settings.placers
+        and now_ms - contact.last_contact_ms < 2.5 * replica.settings.ping_ms
+        and now_ms - contact.last_received_ms < 5 * replica.settings.ping_ms
     ]
 
 
-def _vacant(replica, nodes, now_ms, part):
-    if not part.holder:
+def _needs_holder(replica, nodes, now_ms, shard_state):
+    if not shard_state.holder:
         return True
-    holder = nodes.contacts.get(part.holder)
+    holder = nodes.contacts.get(shard_state.holder)
     if holder is None:
         return now_ms - replica.leader_since_ms > replica.settings.revoke_ms
-    if holder.incarnation != part.incarnation or holder.role != replica.settings.placers:
+    if holder.incarnation != shard_state.incarnation or holder.role != replica.settings.placers:
         return True
     return (
         now_ms - min(holder.last_contact_ms, holder.last_received_ms) > replica.settings.revoke_ms
     )
 
 
-def _held_by(replica, nodes, now_ms):
-    """How many shards each live counter holds."""
-    held = {name: 0 for name in _live(replica, nodes, now_ms)}
-    for part in replica.state.shards.values():
-        if part.holder in held:
-            held[part.holder] += 1
-    return held
+def _shard_counts(replica, nodes, now_ms):
+    """Return how many shards each live counter holds."""
+    shard_counts = {name: 0 for name in _eligible_nodes(replica, nodes, now_ms)}
+    for shard_state in replica.state.shards.values():
+        if shard_state.holder in shard_counts:
+            shard_counts[shard_state.holder] += 1
+    return shard_counts
+
 
+def _choose_holder(shard_counts, shard, shards, avoid=""):
+    """Return the live node with the highest hash weight that isn't full.
 
-def _choose(held, shard, shards, apart=""):
-    """The live node with the best score among those not yet full; not the log node
-    itself if there is another, so that one loss doesn't take both."""
-    if not held:
+    The leader's own machine (`avoid`) is chosen only if there is no other, so that one loss
+    doesn't take both the leader and the holder."""
+    if not shard_counts:
         return None
-    live = [name for name in held if name != apart] or list(held)
-    cap = -(-shards // len(live))
-    roomy = [name for name in live if held[name] < cap] or live
-    return max(roomy, key=lambda name: weight(shard, name))
+    live = [name for name in shard_counts if name != avoid] or list(shard_counts)
+    shard_limit = -(-shards // len(live))
+    candidates = [name for name in live if shard_counts[name] < shard_limit] or live
+    return max(candidates, key=lambda name: weight(shard, name))
 
 
 def lease_tick(replica, writer, nodes, now_ms, shards):
+    """Grant the shards that need a holder, once this leader had time to hear from the nodes."""
     if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.settings.ping_ms:
         return []
-    effects, held = [], _held_by(replica, nodes, now_ms)
+    effects, shard_counts = [], _shard_counts(replica, nodes, now_ms)
     for shard in range(shards):
-        part = state_machine.shard_of(replica.state, shard)
-        if writer.epochs.get(shard, 0) != part.epoch or not _vacant(replica, nodes, now_ms, part):
+        shard_state = state_machine.shard_of(replica.state, shard)
+        if writer.epochs.get(shard, 0) != shard_state.epoch or not _needs_holder(
+            replica, nodes, now_ms, shard_state
+        ):
             continue
-        name = part.holder if part.holder in held else _choose(held, shard, shards, replica.name)
+        name = (
+            shard_state.holder
+            if shard_state.holder in shard_counts
+            else _choose_holder(shard_counts, shard, shards, replica.name)
+        )
         if name is not None:
-            held[name] += 1
-            effects += _lease(replica, writer, nodes, shard, name)
+            shard_counts[name] += 1
+            effects += _grant(replica, writer, nodes, shard, name)
     return effects
 
 
-def _lease(replica, writer, nodes, shard, name):
-    part = state_machine.shard_of(replica.state, shard)
-    flying = [p.position for f in writer.pending for p in f.positions if p.shard == shard]
+def _grant(replica, writer, nodes, shard, name):
+    shard_state = state_machine.shard_of(replica.state, shard)
+    pending = [p.position for b in writer.pending for p in b.positions if p.shard == shard]
     section = state_machine.lease_section(
-        shard, part.epoch + 1, name, nodes.contacts[name].incarnation
+        shard, shard_state.epoch + 1, name, nodes.contacts[name].incarnation
     )
     batch_writer.stage_internal(writer, section)
-    writer.next[shard] = max(flying + [part.next - 1]) + 1
+    writer.next[shard] = max(pending + [shard_state.next - 1]) + 1
     return [Note("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
 
 
 def on_release(replica, writer, nodes, now_ms, message):
-    part = state_machine.shard_of(replica.state, message.shard)
-    if not writer.serving or part.epoch != message.epoch or part.holder != message.name:
+    """Grant a released lease to the successor that the holder named, or to another live node."""
+    shard_state = state_machine.shard_of(replica.state, message.shard)
+    if (
+        not writer.serving
+        or shard_state.epoch != message.epoch
+        or shard_state.holder != message.name
+    ):
         return []
-    if writer.epochs.get(message.shard) != part.epoch:
+    if writer.epochs.get(message.shard) != shard_state.epoch:
         return []
-    live = [name for name in _live(replica, nodes, now_ms) if name != message.name]
+    live = [name for name in _eligible_nodes(replica, nodes, now_ms) if name != message.name]
     if not live:
         return []
     name = (
@@ -172,28 +201,34 @@
         if message.successor in live
         else max(live, key=lambda peer: weight(message.shard, peer))
     )
-    return _lease(replica, writer, nodes, message.shard, name)
+    return _grant(replica, writer, nodes, message.shard, name)
+
 
+def on_recover(replica, writer, sender, request):
+    """Send a holder the content of its shard.
 
-def on_recover(replica, writer, sender, ask):
-    """Give a holder its shard; the lease being applied means that all the old holder's
-    writes in flight are durable and before it, so the shard stays as it is until the
-    asker has it, and is the same at whoever leads."""
-    part = state_machine.shard_of(replica.state, ask.shard)
-    if not writer.serving or part.epoch != ask.epoch or writer.epochs.get(ask.shard) != ask.epoch:
+    Once the lease is applied, all writes of the previous holder that were in flight come
+    before it in the log.  The content therefore doesn't change until the new holder has it, and
+    is the same on every later leader."""
+    shard_state = state_machine.shard_of(replica.state, request.shard)
+    if (
+        not writer.serving
+        or shard_state.epoch != request.epoch
+        or writer.epochs.get(request.shard) != request.epoch
+    ):
         return []
-    recovery = writer.recoveries.get(ask.shard)
-    if recovery is None or recovery.epoch != ask.epoch:
-        body = state_machine.shard_snapshot(part)
-        snapshot = snapshot_transfer.make_snapshot(part.next - 1, ask.epoch, body)
-        recovery = Recovery(ask.epoch, snapshot_transfer.Outgoing(snapshot))
-        writer.recoveries[ask.shard] = recovery
+    recovery = writer.recoveries.get(request.shard)
+    if recovery is None or recovery.epoch != request.epoch:
+        body = state_machine.shard_snapshot(shard_state)
+        snapshot = snapshot_transfer.make_snapshot(shard_state.next - 1, request.epoch, body)
+        recovery = Recovery(request.epoch, snapshot_transfer.Outgoing(snapshot))
+        writer.recoveries[request.shard] = recovery
     chunks = snapshot_transfer.chunks_due(recovery.outgoing)
-    return _shard_chunks(sender, ask, chunks or [snapshot_transfer.probe(recovery.outgoing)])
+    return _shard_chunks(sender, request, chunks or [snapshot_transfer.probe(recovery.outgoing)])
 
 
 def on_chunk_reply(writer, sender, reply):
-    """A holder told how much of its shard it has: send what is due now."""
+    """Handle a holder's acknowledgement and send the chunks that are due."""
     recovery = writer.recoveries.get(reply.shard)
     if recovery is None or recovery.epoch != reply.epoch:
         return []
@@ -203,5 +238,5 @@
     return _shard_chunks(sender, reply, snapshot_transfer.chunks_due(recovery.outgoing))
 
 
-def _shard_chunks(to, about, chunks):
-    return [Send(to, ShardChunk(about.shard, about.epoch, chunk)) for chunk in chunks]
+def _shard_chunks(to, message, chunks):
+    return [Send(to, ShardChunk(message.shard, message.epoch, chunk)) for chunk in chunks]
--- a/tests/test_batch_writer.py
+++ b/tests/test_batch_writer.py
@@ -134,7 +134,7 @@
         staged = Section(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         table.do(batch_writer.stage(table.g, table.d, 0.0, "old", staged))
         nodes = leases.NodeTable(contacts={"new": leases.NodeContact("n", "n.1", "counter", 0.0)})
-        leases._lease(table.g, table.d, nodes, 1, "new")
+        leases._grant(table.g, table.d, nodes, 1, "new")
         self.assertThat([s.kind for s in table.d.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(table.g, table.d, 0.0, "old", staged)[0].message
         self.assertThat(late.cause, Equals("epoch"))
