--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -1,9 +1,9 @@
-"""The planned end of a member: it asks to be replaced, and ends once nothing needs it.
+"""The planned stop of a member: it asks the leader whether it may stop, and stops when it may.
 
-The leader answers a leaver that may end: one that was replaced, with its removal
-committed by the others; or, with no successor in sight, one that stays a member, once
-a majority without it runs and holds all that was committed.  A leaver that leads hands
-over the lead first.  One that gets no answer ends when its time is up.
+The leader lets a member stop in two cases.  Either it was replaced, and the others committed
+its removal; or no successor is available, and a majority without it runs and has all that it
+may have been counted for: it then stays a member.  A leader that is to stop transfers
+leadership first.  A member that gets no reply stops at its deadline.
 """
 
 from dataclasses import dataclass
@@ -25,104 +25,109 @@
     "update_departures",
 ]
 
-# The part of its time after which a leader no longer waits for a successor, but hands over.
-_HAND_OVER_BY = 0.5
+# The part of the time until its deadline for which a leader waits for a successor; after it,
+# the leader transfers leadership without one.
+_SUCCESSOR_WAIT_PART = 0.5
 
 
 @dataclass
 class LeaveState:
-    """Our own leave: since when, until when at most, and how it ended."""
+    """The planned stop of this depot: its start, its deadline and whether it may stop now."""
 
-    since_ms: float
-    until_ms: float
+    started_ms: float
+    deadline_ms: float
     requested_ms: float = -1e12
     done: bool = False
 
 
 @dataclass
 class Departure:
-    """What a leader knows of a member that leaves.
+    """What a leader knows of a member that asked to leave.
 
-    `set_aside_at` is the commit from which on its acknowledgements no longer count, so
-    that all after it is on a majority without it; None while they are needed.
-    """
+    `uncounted_from` is the commit index after which its acknowledgements don't count, so that
+    later entries are on a majority without it; None while they are needed.  `released`: the
+    member was told that it may stop."""
 
-    began_ms: float
+    first_requested_ms: float
     requested_ms: float = -1e12
     uncounted_from: int | None = None
     released: bool = False
 
 
 def begin(replica, now_ms):
+    """Start the planned stop of this depot."""
     return LeaveState(now_ms, now_ms + replica.settings.leave_ms)
 
 
 def tick(replica, leave, now_ms):
-    """The leaver's side.  `Finished` is repeated until the process ends."""
+    """Ask the leader for leave, or act as leader; `Finished` is repeated until the process ends."""
     if leave.done:
         return [Finished()]
     if not replica.group:
-        return _end(leave, "no member")
-    if now_ms >= leave.until_ms:
-        return election.transfer_leadership(replica, now_ms) + _end(leave, "time is up")
+        return _finish(leave, "not in a group")
+    if now_ms >= leave.deadline_ms:
+        return election.transfer_leadership(replica, now_ms) + _finish(leave, "time is up")
     if replica.role == "leader":
-        return _as_leader(replica, leave, now_ms)
+        return _leader_tick(replica, leave, now_ms)
     if now_ms - leave.requested_ms < replica.settings.heartbeat_ms / 2:
         return []
     leave.requested_ms = now_ms
     request = LeaveRequest(replica.group, replica.identity)
     others = [m.address for i, m in sorted(members(replica).items()) if i != replica.identity]
-    known = [replica.leader_address] if replica.leader_address else others
-    return [Send(address, request) for address in known]
+    addresses = [replica.leader_address] if replica.leader_address else others
+    return [Send(address, request) for address in addresses]
 
 
-def _as_leader(replica, leave, now_ms):
-    """Wait for a successor that is in sight (the leader adds it), then hand over.  Right
-    after an election nobody has had the time to be in sight, or to tell that it leaves."""
+def _leader_tick(replica, leave, now_ms):
+    """Wait for an available successor, which is then added, and transfer leadership.
+
+    Nothing is decided right after an election: learners haven't made contact yet, and members
+    that are leaving haven't said so."""
     replica.departures.setdefault(replica.identity, Departure(now_ms))
-    voters, wanted = members(replica), replica.settings.depots
-    patient = now_ms < leave.since_ms + _HAND_OVER_BY * (leave.until_ms - leave.since_ms)
-    if patient and len(voters) <= wanted and _successor_in_sight(replica, now_ms):
+    voters, target_size = members(replica), replica.settings.depots
+    waiting = now_ms < leave.started_ms + _SUCCESSOR_WAIT_PART * (
+        leave.deadline_ms - leave.started_ms
+    )
+    if waiting and len(voters) <= target_size and _successor_available(replica, now_ms):
         return []
     if len(voters) == 1:
-        return _end(leave, "no other member")
-    if patient and now_ms - replica.leader_since_ms < replica.settings.election_ms:
+        return _finish(leave, "no other member")
+    if waiting and now_ms - replica.leader_since_ms < replica.settings.election_ms:
         return []
-    if replica.member_entries and patient:
+    if replica.member_entries and waiting:
         return []
-    heir = _heir(replica, now_ms)
-    if heir is None or (patient and heir in replica.departures):
+    target = _transfer_target(replica, now_ms)
+    if target is None or (waiting and target in replica.departures):
         return []
-    return election.transfer_leadership(replica, now_ms, heir)
+    return election.transfer_leadership(replica, now_ms, target)
 
 
-def _heir(replica, now_ms):
-    """A member that has all that is committed and was sent the rest; one that stays,
-    if there is one."""
+def _transfer_target(replica, now_ms):
+    """Return a member that has all committed entries, preferably one that isn't leaving."""
     ready = [
         (identity in replica.departures, -peer.match, identity)
         for identity, peer in replica.progress.items()
         if identity in members(replica)
-        and _holds(replica, identity, now_ms, replica.commit)
+        and _holds_log(replica, identity, now_ms, replica.commit)
         and not _is_released(replica, identity)
     ]
     return min(ready)[2] if ready else None
 
 
-def _end(leave, why):
+def _finish(leave, reason):
     leave.done = True
-    return [Note("left-group", {"why": why}), Finished()]
+    return [Note("left-group", {"why": reason}), Finished()]
 
 
 def on_reply(replica, leave, message):
-    """The leader's word that we may end."""
+    """Stop if the leader's reply is for this depot."""
     if leave is None or leave.done or message.identity != replica.identity:
         return []
-    return _end(leave, "replaced" if message.removed else "nothing needs it")
+    return _finish(leave, "replaced" if message.removed else "no longer needed")
 
 
 def on_request(replica, now_ms, sender, message):
-    """The leader's side: note the leaver, and answer once it may end."""
+    """As leader, record that a member asks to leave, and reply once it may stop."""
     if (
         replica.role != "leader"
         or message.group != replica.group
@@ -137,8 +142,8 @@
         return [] if replica.member_entries else [Send(sender, removed)]
     departure = replica.departures.setdefault(identity, Departure(now_ms))
     departure.requested_ms = now_ms
-    _set_aside(replica, now_ms, identity, departure)
-    if _to_be_replaced(replica, now_ms):
+    _update_counting(replica, now_ms, identity, departure)
+    if _replacement_pending(replica, now_ms):
         return []
     if not departure.released and not _can_spare(replica, now_ms, identity, departure):
         return []
@@ -147,23 +152,28 @@
 
 
 def update_departures(replica, now_ms):
-    """As leader: forget who came back or is no member, and count again whom we need."""
+    """As leader, drop departures of depots that returned or are no members; recount the rest."""
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
-        back = peer and peer.last_contact_ms > departure.requested_ms + replica.settings.election_ms
-        if identity not in members(replica) or (back and identity != replica.identity):
+        returned = (
+            peer and peer.last_contact_ms > departure.requested_ms + replica.settings.election_ms
+        )
+        if identity not in members(replica) or (returned and identity != replica.identity):
             del replica.departures[identity]
         else:
-            _set_aside(replica, now_ms, identity, departure)
+            _update_counting(replica, now_ms, identity, departure)
 
 
-def _set_aside(replica, now_ms, identity, departure):
-    """Do without a leaver's acknowledgements as long as a majority of others runs whose own
-    are counted: two leavers that each counted on the other would hold up every commit."""
+def _update_counting(replica, now_ms, identity, departure):
+    """Decide whether a leaving member's acknowledgements count.
+
+    They don't as long as a majority of other members runs whose own acknowledgements count.
+    If two leaving members were left out on the strength of each other's acknowledgements, no
+    entry could be committed."""
     counted = [
         other
-        for other in _staying(replica, now_ms, identity, 0)
-        if not _is_set_aside(replica, other)
+        for other in _other_holders(replica, now_ms, identity, 0)
+        if not _is_uncounted(replica, other)
     ]
     if len(counted) < majority(replica):
         departure.uncounted_from = None
@@ -172,38 +182,41 @@
 
 
 def _can_spare(replica, now_ms, identity, departure):
-    """Whether a majority without this member holds what it may have been counted for, and
-    was heard of since it asked: one that was lost a moment ago is not known to be."""
+    """Return whether a majority without this member has the entries that it was counted for.
+
+    Only contact since the member first asked to leave counts, since the loss of another member
+    just before may not be known yet."""
     if departure.uncounted_from is None:
         return False
     holding = [
         other
-        for other in _staying(replica, now_ms, identity, departure.uncounted_from)
-        if other == replica.identity or replica.progress[other].last_contact_ms > departure.began_ms
+        for other in _other_holders(replica, now_ms, identity, departure.uncounted_from)
+        if other == replica.identity
+        or replica.progress[other].last_contact_ms > departure.first_requested_ms
     ]
     return len(holding) >= majority(replica)
 
 
-def _staying(replica, now_ms, identity, index):
-    """The other members that run, were not let go, and hold all up to `index`."""
+def _other_holders(replica, now_ms, identity, index):
+    """Return the other members that run, weren't released, and have the log up to `index`."""
     return [
         other
         for other in members(replica)
         if other != identity
         and not _is_released(replica, other)
-        and _holds(replica, other, now_ms, index)
+        and _holds_log(replica, other, now_ms, index)
     ]
 
 
-def _holds(replica, identity, now_ms, index):
+def _holds_log(replica, identity, now_ms, index):
     if identity == replica.identity:
         return replica.synced >= index
     peer = replica.progress.get(identity)
-    heard = peer is not None and now_ms - peer.last_contact_ms < replica.settings.election_ms
-    return heard and 0 < peer.match >= index
+    in_contact = peer is not None and now_ms - peer.last_contact_ms < replica.settings.election_ms
+    return in_contact and 0 < peer.match >= index
 
 
-def _is_set_aside(replica, identity):
+def _is_uncounted(replica, identity):
     departure = replica.departures.get(identity)
     return departure is not None and departure.uncounted_from is not None
 
@@ -213,19 +226,19 @@
     return departure is not None and departure.released
 
 
-def _to_be_replaced(replica, now_ms):
-    """Whether a successor may yet come, or has come and the leaver's removal is due."""
-    surplus = len(members(replica)) > replica.settings.depots
-    return surplus or bool(replica.member_entries) or _successor_in_sight(replica, now_ms)
+def _replacement_pending(replica, now_ms):
+    """Return whether a successor may still be added, or was added and a removal is due."""
+    too_many = len(members(replica)) > replica.settings.depots
+    return too_many or bool(replica.member_entries) or _successor_available(replica, now_ms)
 
 
 def learner_is_leaving(replica, peer):
-    """Whether a learner asked to leave, and hasn't come back since; it was told that it may."""
+    """Return whether a learner asked to leave, and was told that it may, and hasn't returned."""
     return peer.last_contact_ms <= peer.leave_requested_ms + replica.settings.election_ms
 
 
-def _successor_in_sight(replica, now_ms):
-    """Whether a learner speaks that may yet take a place."""
+def _successor_available(replica, now_ms):
+    """Return whether a learner is in contact that may become a member."""
     return any(
         peer.learner
         and identity not in replica.departures
