--- a/libs/replication/src/replication/log_compaction.py
+++ b/libs/replication/src/replication/log_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction of the log: snapshots of the state, and which entries are kept behind them."""
+"""Compaction of the log: when a snapshot is taken, and which entries before it are kept."""
 
 from transport.effects import Install
 
@@ -7,37 +7,39 @@
 
 __all__ = ["trim"]
 
-# Entries kept behind a snapshot, for members and followers that are a little behind.
+# Entries kept before a snapshot, for members and feed followers that are a little behind.
 _KEPT_ENTRIES = 256
-# While a snapshot is under way; a machine has some 300 MB in all.
+# Limit on the entries kept while a snapshot is being sent; a machine has some 300 MB in all.
 _RETAINED_BYTES = 16 << 20
 
 
 def trim(replica):
-    """Take a snapshot once enough was logged since the last, and drop what it covers."""
-    least = min(max(replica.settings.keep_bytes, replica.snapshot_bytes), _RETAINED_BYTES)
-    if replica.bytes_since_snapshot < least or replica.commit <= replica.snapshot_index:
+    """Take a snapshot once enough was logged since the last one, and drop covered entries."""
+    threshold = min(max(replica.settings.keep_bytes, replica.snapshot_bytes), _RETAINED_BYTES)
+    if replica.bytes_since_snapshot < threshold or replica.commit <= replica.snapshot_index:
         return []
     body = snapshot_file(replica)
     replica.snapshot_index, replica.bytes_since_snapshot = replica.commit, 0
     replica.snapshot_bytes = len(body)
-    keep = _first_kept(replica)
-    term = term_at(replica, keep)
-    del replica.log[: keep - replica.base_index]
-    replica.base_index, replica.base_term = keep, term
+    index = _compaction_index(replica)
+    term = term_at(replica, index)
+    del replica.log[: index - replica.base_index]
+    replica.base_index, replica.base_term = index, term
     return [Install(replica.snapshot_index, body)]
 
 
-def _first_kept(replica):
-    """The index after which entries are kept for peers that are a little behind; and
-    for one that takes in a snapshot, those after it."""
-    needed = snapshot_sending.retained_index(replica)
-    size, keep = 0, replica.commit
-    while keep > replica.base_index:
-        size += len(entry_at(replica, keep).body)
-        near = replica.commit - keep < _KEPT_ENTRIES and size <= replica.settings.keep_bytes
-        wanted = needed is not None and keep > needed and size <= _RETAINED_BYTES
-        if not near and not wanted:
+def _compaction_index(replica):
+    """Return the index after which entries are kept: recent ones, for peers that are a little
+    behind, and those after a snapshot that is being sent."""
+    retained_after = snapshot_sending.retained_index(replica)
+    size, index = 0, replica.commit
+    while index > replica.base_index:
+        size += len(entry_at(replica, index).body)
+        recent = replica.commit - index < _KEPT_ENTRIES and size <= replica.settings.keep_bytes
+        needed_for_transfer = (
+            retained_after is not None and index > retained_after and size <= _RETAINED_BYTES
+        )
+        if not recent and not needed_for_transfer:
             break
-        keep -= 1
-    return keep
+        index -= 1
+    return index
