--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -1,7 +1,7 @@
-"""A follower's side of log replication: entries, snapshots and its acknowledgements.
+"""A follower's side of log replication: entries, snapshots and acknowledgements.
 
-An acknowledgement names the last entry that is synced here and known to match the
-leader's log, so it is cumulative.
+An acknowledgement is cumulative: it names the last entry that is synced here and known to
+match the leader's log.
 """
 
 from transport.effects import Install, Note, Send
@@ -27,22 +27,24 @@
 
 
 def accept_leader(replica, now_ms, sender, message):
-    """(whether `message` is for us and from the leader of its term, effects)."""
+    """Check that a message is for this replica and not from an older term.
+
+    Returns (accepted, effects); an accepted message's sender is followed as leader."""
     if message.to != replica.identity or (replica.group and message.group != replica.group):
         return False, []
     if message.term < replica.term:
         return False, [Send(sender, _ack(replica, False, 0, 0))]
-    return True, _follow(replica, now_ms, message)
+    return True, _follow_leader(replica, now_ms, message)
 
 
 def matched_reply(replica, round_):
-    """Up to where our synced log is known to match the leader's."""
-    matched = min(replica.synced, max(replica.verified, replica.commit))
-    return _ack(replica, True, max(replica.snapshot_index, matched), round_)
+    """Return an acknowledgement up to where the synced log is known to match the leader's."""
+    matched_index = min(replica.synced, max(replica.verified, replica.commit))
+    return _ack(replica, True, max(replica.snapshot_index, matched_index), round_)
 
 
-def _follow(replica, now_ms, message):
-    """Accept the sender as leader of its term; saved before we answer."""
+def _follow_leader(replica, now_ms, message):
+    """Follow the sender as leader of its term; a new term is saved before the reply."""
     effects = []
     if not replica.group:
         replica.group = message.group
@@ -64,18 +66,19 @@
 
 
 def acknowledged_index(replica):
-    """The last entry that a follower answers for: on its disk, in its own log or under
-    its snapshot, and known to be what the leader of this term has."""
+    """Return the index up to which a follower acknowledges the log: on its disk, as entries or
+    in its snapshot, and known to match the log of this term's leader."""
     return max(replica.snapshot_index, min(replica.synced, replica.verified))
 
 
-def _ack(replica, agreed, index, round_):
+def _ack(replica, success, index, round_):
     return AppendReply(
-        replica.term, replica.identity, replica.name, replica.address, agreed, index, round_
+        replica.term, replica.identity, replica.name, replica.address, success, index, round_
     )
 
 
 def on_entries(replica, now_ms, sender, message):
+    """Append the leader's entries after the point where the logs match, or report a mismatch."""
     accepted, effects = accept_leader(replica, now_ms, sender, message)
     if not accepted:
         return effects
@@ -87,7 +90,7 @@
         return effects + [
             Send(sender, _ack(replica, False, max(hint, replica.commit), message.round))
         ]
-    fresh = []
+    new_entries = []
     for entry in message.entries:
         if entry.index <= replica.commit or term_at(replica, entry.index) == entry.term:
             continue
@@ -96,17 +99,17 @@
         replica.log.append(entry)
         replica.bytes_since_snapshot += len(entry.body)
         learn_members(replica, entry)
-        fresh.append(entry)
-    if fresh:
-        effects += log_commit.write(replica, now_ms, tuple(fresh))
-    top = message.prev_index + len(message.entries)
-    replica.verified = max(replica.verified, top)
+        new_entries.append(entry)
+    if new_entries:
+        effects += log_commit.write(replica, now_ms, tuple(new_entries))
+    last_matching = message.prev_index + len(message.entries)
+    replica.verified = max(replica.verified, last_matching)
     effects += log_commit.advance_commit(replica, min(message.commit, replica.verified))
     return effects + [Send(sender, _ack(replica, True, acknowledged_index(replica), message.round))]
 
 
 def on_written(replica, index, term):
-    """A write of ours is synced: tell the leader, if there is one."""
+    """Record a synced write and acknowledge it to the leader, if one is known."""
     log_commit.mark_written(replica, index, term)
     if not replica.leader_address:
         return []
@@ -114,26 +117,27 @@
 
 
 def on_snapshot(replica, now_ms, sender, message):
+    """Install a complete snapshot that is ahead of the committed state."""
     if (
         message.to != replica.identity
         or message.term < replica.term
         or (replica.group and message.group != replica.group)
     ):
         return []
-    effects = _follow(replica, now_ms, message)
+    effects = _follow_leader(replica, now_ms, message)
     if message.index > replica.commit:
         effects.append(_install(replica, message.body))
     return effects + [Send(sender, _ack(replica, True, acknowledged_index(replica), 0))]
 
 
-def _install(replica, snapshot):
+def _install(replica, snapshot_file):
     """Replace the state by a snapshot that is ahead of it.
 
-    If the log holds the snapshot's last entry, what follows that entry is kept (Raft,
-    section 7): it may have been acknowledged.  Else nothing past it was verified in
-    this term, and the whole log goes.
+    If the log holds the snapshot's last entry, the entries after it are kept (Raft paper,
+    section 7), since they may have been acknowledged.  Otherwise no entry after it was
+    verified in this term, and the whole log is discarded.
     """
-    index, term, body = read_snapshot_file(snapshot)
+    index, term, body = read_snapshot_file(snapshot_file)
     matches = term_at(replica, index) == term
     if matches:
         replica.member_entries = [entry for entry in replica.member_entries if entry[0] > index]
@@ -146,5 +150,5 @@
     replica.bytes_since_snapshot = sum(
         len(entry.body) for entry in replica.log[index - replica.base_index :]
     )
-    replica.snapshot_bytes = len(snapshot)
-    return Install(index, snapshot, restart=not matches)
+    replica.snapshot_bytes = len(snapshot_file)
+    return Install(index, snapshot_file, restart=not matches)
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -1,9 +1,9 @@
-"""A leader's side of log replication: entries to the other members, and commits.
+"""A leader's side of log replication: entries to the other depots, and commits.
 
-The leader sends what another depot lacks without waiting for earlier answers; an ack
-names the last entry that is synced there and known to match, so it is cumulative.  An
-entry of the leader's own term counts once a majority synced it, and everything before it
-with it.  `log_following` is the other side, `log_commit` what both do alike.
+The leader sends entries without waiting for earlier replies.  A reply is cumulative: it names
+the last entry that is synced there and known to match.  An entry of the leader's own term is
+committed, with all entries before it, once a majority synced it.  `log_following` is the
+follower's side; `log_commit` has the steps that both share.
 """
 
 from transport.effects import Send
@@ -30,43 +30,44 @@
     "replicate_to",
 ]
 
-# Entries that go as one message.
+# Limit on the entries in one message.
 _PER_SEND = 64
-# Below what a connection holds, so that nothing is dropped for a peer on a slow link.
+# Less than the send buffer of a connection, so that nothing is dropped on a slow link.
 _IN_FLIGHT_BYTES = 4 << 20
-# For a peer that is silent so long no snapshot, and no entries after it, are kept.
+# After so many revoke times of silence, no snapshot and no entries after it are kept for a peer.
 _SILENT_REVOKES = 10
-# A heartbeat waits behind what is sent before it on the same connection.
+# Heartbeats are queued behind entries on the same connection, so a message stays small.
 _BYTES_PER_SEND = 1 << 20
 
 
 def propose(replica, now_ms, body, inline=False):
-    """Add an entry of our own as leader: write it here, send it on."""
+    """Append an entry as leader: write it here and send it to the other depots."""
     entry = Entry(last_index(replica) + 1, replica.term, body)
     replica.log.append(entry)
     replica.bytes_since_snapshot += len(body)
     learn_members(replica, entry)
-    _match_others(replica, now_ms)
+    _update_progress(replica, now_ms)
     effects = []
     for peer in replica.progress.values():
         effects += replicate_to(replica, peer, now_ms)
     return effects + log_commit.write(replica, now_ms, (entry,), inline)
 
 
-def _match_others(replica, now_ms):
-    """Keep one `Other` for each voter; learners stay until they are voters."""
+def _update_progress(replica, now_ms):
+    """Keep a `PeerProgress` for each other voter; those of learners stay."""
     for identity, member in members(replica).items():
         if identity != replica.identity and identity not in replica.progress:
             replica.progress[identity] = PeerProgress(
                 member.address, member.name, last_index(replica), last_contact_ms=now_ms
             )
     for identity in [
-        i for i, o in replica.progress.items() if i not in members(replica) and not o.learner
+        i for i, peer in replica.progress.items() if i not in members(replica) and not peer.learner
     ]:
         del replica.progress[identity]
 
 
 def add_learner(replica, now_ms, identity, name, address):
+    """Start to replicate the log to a depot that isn't a voter."""
     replica.progress[identity] = PeerProgress(
         address,
         name,
@@ -79,11 +80,11 @@
 
 
 def new_round(replica, now_ms):
-    """Ask everyone at once for a word: what reads and pings are confirmed by."""
+    """Start a heartbeat round; feed requests are confirmed once a majority answered it."""
     replica.round += 1
     replica.round_sent_ms[replica.round] = now_ms
-    for old in [r for r in replica.round_sent_ms if r < replica.round - 200]:
-        del replica.round_sent_ms[old]
+    for old_round in [r for r in replica.round_sent_ms if r < replica.round - 200]:
+        del replica.round_sent_ms[old_round]
     effects = []
     for peer in replica.progress.values():
         effects += replicate_to(replica, peer, now_ms)
@@ -91,35 +92,42 @@
 
 
 def confirmed_round(replica):
-    """The newest round that a majority, ourselves included, has answered."""
-    answered = sorted(
-        (o.round for i, o in replica.progress.items() if i in members(replica)), reverse=True
+    """Return the newest round that a majority, this leader included, has answered."""
+    answered_rounds = sorted(
+        (peer.round for i, peer in replica.progress.items() if i in members(replica)), reverse=True
+    )
+    needed = majority(replica) - 1
+    return (
+        replica.round
+        if needed == 0
+        else answered_rounds[needed - 1]
+        if len(answered_rounds) >= needed
+        else 0
     )
-    need = majority(replica) - 1
-    return replica.round if need == 0 else answered[need - 1] if len(answered) >= need else 0
 
 
 def _identity_of(replica, peer):
-    return next(i for i, o in replica.progress.items() if o is peer)
+    return next(i for i, other in replica.progress.items() if other is peer)
 
 
 def replicate_to(replica, peer, now_ms):
+    """Send a peer the entries due to it, a snapshot, or at least a heartbeat."""
     peer.sent_ms = now_ms
-    to = _identity_of(replica, peer)
+    identity = _identity_of(replica, peer)
     lacks_entries = peer.next <= replica.base_index
     if (
         lacks_entries
         and now_ms - peer.last_contact_ms < _SILENT_REVOKES * replica.settings.revoke_ms
     ):
-        return snapshot_sending.messages_due(replica, peer, to)
+        return snapshot_sending.messages_due(replica, peer, identity)
     if peer.transfer is not None:
         snapshot_sending.finish(replica, peer)
     first = max(peer.next, replica.base_index + 1)
     batch = ()
     if _window_open(peer) and not lacks_entries:
-        start = first - replica.base_index - 1
+        first_offset = first - replica.base_index - 1
         batch, size = entry_batch.take_up_to_bytes(
-            replica.log[start : start + _PER_SEND], _BYTES_PER_SEND
+            replica.log[first_offset : first_offset + _PER_SEND], _BYTES_PER_SEND
         )
     if batch:
         peer.next = first + len(batch)
@@ -132,7 +140,7 @@
                 replica.term,
                 replica.identity,
                 replica.address,
-                to,
+                identity,
                 first - 1,
                 term_at(replica, first - 1),
                 replica.commit,
@@ -144,29 +152,30 @@
 
 
 def _window_open(peer):
-    """Whether more entries may go to a peer before it answers for those under way."""
+    """Return whether more entries may be sent to a peer before it acknowledges earlier ones."""
     return sum(size for _, size in peer.in_flight) < _IN_FLIGHT_BYTES
 
 
 def on_written(replica, now_ms, index, term):
-    """A write of ours is synced: a leader counts it, a follower tells its leader."""
+    """Handle a synced write: a leader counts it, a follower acknowledges it to its leader."""
     if replica.role != "leader":
         return log_following.on_written(replica, index, term)
     log_commit.mark_written(replica, index, term)
     return count(replica)
 
 
-def on_ack(replica, now_ms, ack):
-    if replica.role != "leader" or ack.term > replica.term:
+def on_ack(replica, now_ms, reply):
+    """Handle the reply to entries or a heartbeat: advance the peer and the commit."""
+    if replica.role != "leader" or reply.term > replica.term:
         return []
-    peer = replica.progress.get(ack.identity)
-    if peer is None or ack.term < replica.term:
+    peer = replica.progress.get(reply.identity)
+    if peer is None or reply.term < replica.term:
         return []
-    peer.last_contact_ms, peer.address = now_ms, ack.address
-    peer.round = max(peer.round, ack.round)
-    if not ack.agreed:
-        return _on_mismatch(replica, peer, ack.index, now_ms)
-    peer.match = max(peer.match, ack.index)
+    peer.last_contact_ms, peer.address = now_ms, reply.address
+    peer.round = max(peer.round, reply.round)
+    if not reply.agreed:
+        return _on_mismatch(replica, peer, reply.index, now_ms)
+    peer.match = max(peer.match, reply.index)
     peer.next = max(peer.next, peer.match + 1)
     peer.in_flight = [f for f in peer.in_flight if f[0] > peer.match]
     if peer.learner:
@@ -178,12 +187,12 @@
 
 
 def _on_mismatch(replica, peer, index, now_ms):
-    """The peer's log doesn't have what ours has after `index`: go back to there.
+    """The peer's log doesn't match beyond `index`: continue from there.
 
-    All that was under way gets the same answer; only the first of them counts, or each
-    would have the same entries sent again."""
-    again = index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_ms
-    if again and peer.next > index + 1:
+    Every message in flight gets the same reply.  Only the first one counts; otherwise each
+    would cause the same entries to be sent again."""
+    repeated = index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_ms
+    if repeated and peer.next > index + 1:
         return []
     peer.rewound_to, peer.rewound_ms = index, now_ms
     peer.next = min(peer.next, index + 1)
@@ -192,16 +201,16 @@
 
 
 def count(replica):
-    """Move the commit to what a majority has synced in our own term."""
+    """Advance the commit to the last entry of this term that a majority has synced."""
     voters = counted_voters(replica)
-    places = sorted(
-        [o.match for i, o in replica.progress.items() if i in voters]
+    positions = sorted(
+        [peer.match for i, peer in replica.progress.items() if i in voters]
         + ([replica.synced] if replica.identity in voters else []),
         reverse=True,
     )
-    if len(places) < majority(replica):
+    if len(positions) < majority(replica):
         return []
-    place = places[majority(replica) - 1]
-    if place > replica.commit and term_at(replica, place) == replica.term:
-        return log_commit.advance_commit(replica, place)
+    position = positions[majority(replica) - 1]
+    if position > replica.commit and term_at(replica, position) == replica.term:
+        return log_commit.advance_commit(replica, position)
     return []
