--- a/tests/test_restart_cost.py
+++ b/tests/test_restart_cost.py
@@ -118,7 +118,7 @@
             shard_log.on_durable(self.log, m.ShardPlace(1, 1, position), 0.0)
             if shard_log.checkpoint_due(self.log, 20):
                 shard_log.prepare_checkpoint(self.log, b"state after %d" % (position + 1))
-            offered = shard_log.offer_checkpoint(self.log, 0.0, self.card, "a", 0, 3000.0)
+            offered = shard_log.send_checkpoint(self.log, 0.0, self.card, "a", 0, 3000.0)
             if offered:
                 break
         section = offered[0].message.section
@@ -132,7 +132,7 @@
 
         def offers(now_ms, confirmed_at):
             return len(
-                shard_log.offer_checkpoint(self.log, now_ms, self.card, "a", confirmed_at, 3000.0)
+                shard_log.send_checkpoint(self.log, now_ms, self.card, "a", confirmed_at, 3000.0)
             )
 
         found = [offers(0.0, 0), offers(100.0, 0), offers(3000.0, 0), offers(3100.0, 20)]
