--- a/libs/replication/src/replication/versioned_files.py
+++ b/libs/replication/src/replication/versioned_files.py
@@ -1,5 +1,8 @@
-"""Small files in versions: written aside, synced, renamed, the folder synced; only then
-the old version goes.  Whatever is lost in between, the newest whole version is read."""
+"""Small files that are replaced atomically, each version under its own number.
+
+A new version is written to a temporary file, synced and renamed, and the folder is synced;
+only then are older versions removed.  After a crash at any step the newest version is complete.
+"""
 
 import os
 import struct
@@ -13,56 +16,62 @@
 
 
 class DiskError(Exception):
+    """The data folder can't be used; `failure` says why."""
+
     def __init__(self, failure):
         super().__init__(failure.tag)
         self.failure = failure
 
 
 def sync_folder(folder):
-    handle = os.open(folder, os.O_RDONLY)
+    """Make the names in a folder durable."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 def sync_file(path):
-    handle = os.open(path, os.O_RDWR)
+    """Make the content of a file durable."""
+    descriptor = os.open(path, os.O_RDWR)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 def _versions(folder, name):
-    found = {}
+    versions = {}
     for path in folder.glob(name + ".v*"):
-        tail = path.name[len(name) + 2 :]
-        if tail.isdigit():
-            found[int(tail)] = path
-    return found
+        suffix = path.name[len(name) + 2 :]
+        if suffix.isdigit():
+            versions[int(suffix)] = path
+    return versions
 
 
 def save(folder, name, body):
-    old = _versions(folder, name)
-    number = max(old, default=0) + 1
-    aside = folder / f"{name}{TEMPORARY_SUFFIX}"
-    with open(aside, "wb") as out:
-        out.write(struct.pack(">I", zlib.crc32(body)))
-        out.write(body)
-        out.flush()
-        os.fsync(out.fileno())
-    os.rename(aside, folder / f"{name}.v{number:08d}")
+    """Write a new version of a file, durable on return, and remove the older versions."""
+    old_versions = _versions(folder, name)
+    number = max(old_versions, default=0) + 1
+    temporary = folder / f"{name}{TEMPORARY_SUFFIX}"
+    with open(temporary, "wb") as file:
+        file.write(struct.pack(">I", zlib.crc32(body)))
+        file.write(body)
+        file.flush()
+        os.fsync(file.fileno())
+    os.rename(temporary, folder / f"{name}.v{number:08d}")
     sync_folder(folder)
-    for path in old.values():
+    for path in old_versions.values():
         path.unlink()
 
 
 def load(folder, name):
-    found = _versions(folder, name)
-    if not found:
+    """Return the content of the newest version, or None; raise DiskError on a bad checksum."""
+    versions = _versions(folder, name)
+    if not versions:
         return None
-    path = found[max(found)]
+    path = versions[max(versions)]
     data = path.read_bytes()
     if len(data) < 4 or struct.unpack(">I", data[:4])[0] != zlib.crc32(data[4:]):
         raise DiskError(failures.DiskUntrusted(path.name, "checksum"))
