--- a/libs/replication/src/replication/snapshot_receiving.py
+++ b/libs/replication/src/replication/snapshot_receiving.py
@@ -1,4 +1,4 @@
-"""A replica takes in its leader's snapshot, and installs it once it is whole."""
+"""A replica's side of snapshot transfer: it receives its leader's snapshot and installs it."""
 
 from transport.effects import Send
 from transport.replication_messages import SnapshotPart
@@ -10,7 +10,7 @@
 
 
 def on_chunk(replica, now_ms, sender, message):
-    """Take a chunk and tell what we hold by now."""
+    """Store a chunk and acknowledge the bytes held so far; install a complete snapshot."""
     accepted, effects = log_following.accept_leader(replica, now_ms, sender, message)
     if not accepted:
         return effects
@@ -18,10 +18,10 @@
         replica.incoming = snapshot_transfer.Incoming()
         reply = log_following.matched_reply(replica, message.round)
         return effects + [Send(sender, reply)]
-    ack, whole = snapshot_transfer.on_chunk(replica.incoming, message.chunk, now_ms)
-    if whole is not None:
+    ack, body = snapshot_transfer.on_chunk(replica.incoming, message.chunk, now_ms)
+    if body is not None:
         replica.incoming = snapshot_transfer.Incoming()
-        return effects + _install(replica, now_ms, sender, message, whole)
+        return effects + _install(replica, now_ms, sender, message, body)
     if ack is not None:
         reply = ReplicaChunkReply(
             replica.term, replica.identity, replica.address, message.round, ack
--- a/libs/replication/src/replication/snapshot_sending.py
+++ b/libs/replication/src/replication/snapshot_sending.py
@@ -1,4 +1,4 @@
-"""A leader brings up a replica whose log ends before the leader's own begins."""
+"""A leader's side of snapshot transfer, for replicas whose log ends before its own begins."""
 
 from transport.effects import Send
 from transport.messages import ReplicaChunk
@@ -10,27 +10,28 @@
 
 
 def messages_due(replica, peer, identity):
-    """Chunks for a peer that needs a snapshot; a probe at least, as its heartbeat."""
+    """Return the chunks due to a peer that needs a snapshot, or a probe as its heartbeat."""
     if peer.transfer is None:
-        peer.transfer = snapshot_transfer.Outgoing(_pinned(replica))
+        peer.transfer = snapshot_transfer.Outgoing(_shared_snapshot(replica))
     chunks = snapshot_transfer.chunks_due(peer.transfer)
     chunks = chunks or [snapshot_transfer.probe(peer.transfer)]
-    return _messages(replica, peer, identity, chunks)
+    return _chunk_messages(replica, peer, identity, chunks)
 
 
-def _pinned(replica):
-    """The one snapshot for all peers that need one.  It is kept while any of them does,
-    so that a newer one never makes a transfer start over."""
-    pinned = replica.pinned_snapshot
-    if pinned is None or pinned.id.index < replica.base_index:
+def _shared_snapshot(replica):
+    """Return the snapshot that all current transfers share.
+
+    It is kept until the last of them ends, so that a newer snapshot never restarts one."""
+    snapshot = replica.pinned_snapshot
+    if snapshot is None or snapshot.id.index < replica.base_index:
         term = term_at(replica, replica.commit)
         body = snapshot_file(replica)
-        pinned = snapshot_transfer.make_snapshot(replica.commit, term, body)
-        replica.pinned_snapshot = pinned
-    return pinned
+        snapshot = snapshot_transfer.make_snapshot(replica.commit, term, body)
+        replica.pinned_snapshot = snapshot
+    return snapshot
 
 
-def _messages(replica, peer, identity, chunks):
+def _chunk_messages(replica, peer, identity, chunks):
     return [
         Send(
             peer.address,
@@ -49,7 +50,7 @@
 
 
 def on_chunk_reply(replica, now_ms, reply):
-    """A peer told how much it holds: send what is due now."""
+    """Handle a peer's acknowledgement and send the chunks that are due."""
     peer = replica.progress.get(reply.identity)
     if replica.role != "leader" or reply.term != replica.term or peer is None:
         return []
@@ -59,18 +60,18 @@
         return []
     snapshot_transfer.on_ack(peer.transfer, reply.ack)
     chunks = snapshot_transfer.chunks_due(peer.transfer)
-    return _messages(replica, peer, reply.identity, chunks)
+    return _chunk_messages(replica, peer, reply.identity, chunks)
 
 
 def finish(replica, peer):
-    """The peer's log reaches ours; the snapshot goes once nobody needs it."""
+    """End the transfer to a peer whose log reaches the leader's; drop an unused snapshot."""
     peer.transfer = None
     if not any(p.transfer for p in replica.progress.values()):
         replica.pinned_snapshot = None
 
 
 def retained_index(replica):
-    """The first index whose later entries a transfer under way will need, or None."""
+    """Return the index after which current transfers need the log's entries, or None."""
     indices = [p.transfer.snapshot.id.index for p in replica.progress.values() if p.transfer]
     if replica.feed_retained_index is not None:
         indices.append(replica.feed_retained_index)
--- a/libs/replication/src/replication/snapshot_transfer.py
+++ b/libs/replication/src/replication/snapshot_transfer.py
@@ -1,9 +1,10 @@
-"""Sending a snapshot in chunks over a connection that may break at any point.
+"""Transfer of a snapshot in chunks, over connections that may break at any point.
 
-The sender keeps a few chunks in flight.  The receiver answers each with how many bytes
-it holds from the start, so a lost chunk, a break or another sender of the same snapshot
-costs no more than what was in flight.  The sender keeps no timers: whatever it does
-regularly (a heartbeat, an answer to a ping) asks again by an empty chunk.
+The sender keeps a few chunks in flight.  The receiver acknowledges each with the number of
+bytes that it holds from the start, so a lost chunk, a broken connection or a change of sender
+costs no more than the bytes in flight.  The sender has no timers: its regular messages
+(heartbeats, replies to pings) carry a probe, an empty chunk, whose acknowledgement resumes
+the transfer.
 """
 
 import zlib
@@ -25,32 +26,32 @@
     "probe",
 ]
 
-# Small enough that a heartbeat behind a full window is not late on a link of 10 Mbit/s.
+# A heartbeat queued behind a full window still arrives in time on a 10 Mbit/s link.
 CHUNK_BYTES = 64 << 10
 WINDOW_CHUNKS = 4
-# A receiver assembles the whole in memory, of which a small machine has some 300 MB.
+# A receiver assembles the snapshot in memory, of which a small machine has some 300 MB.
 LIMIT_BYTES = 64 << 20
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The bytes of a state, and what they are known by."""
+    """The encoded state and the identity by which receivers recognise it."""
 
     id: SnapshotId
     body: bytes
 
 
 def make_snapshot(index, term, body):
-    """A snapshot of the state after the entry at `index`, which is of `term`."""
+    """Return a snapshot of the state after the entry at `index`, which is of `term`."""
     return Snapshot(SnapshotId(index, term, len(body), zlib.crc32(body)), body)
 
 
 @dataclass
 class Outgoing:
-    """What a sender knows of one receiver of a snapshot."""
+    """A sender's state of the transfer to one receiver; `in_flight` has (sequence, offset)."""
 
     snapshot: Snapshot
-    answered: bool = False
+    acknowledged: bool = False
     next_offset: int = 0
     sequence: int = 0
     acked_sequence: int = 0
@@ -58,22 +59,22 @@
 
 
 def probe(outgoing):
-    """An empty chunk, whose answer tells what the receiver holds."""
+    """Return an empty chunk, whose acknowledgement tells how much the receiver holds."""
     outgoing.sequence += 1
     return Chunk(outgoing.snapshot.id, outgoing.sequence, outgoing.next_offset, b"")
 
 
 def chunks_due(outgoing):
-    """The chunks that may be sent now; none before the receiver said what it holds."""
-    found = []
+    """Return the chunks that may be sent now; none before the first acknowledgement."""
+    chunks = []
     size = outgoing.snapshot.id.size
     while (
-        outgoing.answered
+        outgoing.acknowledged
         and outgoing.next_offset < size
         and len(outgoing.in_flight) < WINDOW_CHUNKS
     ):
-        found.append(_next_chunk(outgoing))
-    return found
+        chunks.append(_next_chunk(outgoing))
+    return chunks
 
 
 def _next_chunk(outgoing):
@@ -86,11 +87,11 @@
 
 
 def on_ack(outgoing, ack):
-    """Take an answer; True once the receiver holds the whole."""
-    known = ack.snapshot == outgoing.snapshot.id
-    if not known or not outgoing.acked_sequence <= ack.sequence <= outgoing.sequence:
+    """Handle an acknowledgement; True once the receiver holds the complete snapshot."""
+    matches = ack.snapshot == outgoing.snapshot.id
+    if not matches or not outgoing.acked_sequence <= ack.sequence <= outgoing.sequence:
         return False
-    outgoing.answered = True
+    outgoing.acknowledged = True
     outgoing.acked_sequence = ack.sequence
     outgoing.in_flight = [f for f in outgoing.in_flight if f[0] > ack.sequence]
     expected = outgoing.in_flight[0][1] if outgoing.in_flight else outgoing.next_offset
@@ -102,35 +103,36 @@
 
 @dataclass
 class Incoming:
-    """What a receiver has of the one snapshot that it takes in at a time."""
+    """A receiver's part of the one snapshot that it receives at a time."""
 
     snapshot: SnapshotId | None = None
     body: bytearray = field(default_factory=bytearray)
     last_progress_ms: float = -1e12
 
 
-def on_chunk(incoming, chunk, now_ms, patience_ms=0.0):
-    """Take a chunk: (its answer or None, the whole body or None).
+def on_chunk(incoming, chunk, now_ms, sender_timeout_ms=0.0):
+    """Handle a chunk; returns (acknowledgement or None, complete body or None).
 
-    Another snapshot than the one under way is let in once nothing of that one has come
-    for `patience_ms`: two senders must not throw each other's bytes away in turn."""
+    A chunk of a different snapshot is accepted only after the current transfer made no
+    progress for `sender_timeout_ms`: otherwise two senders would discard each other's bytes
+    in turn."""
     if chunk.snapshot.size > LIMIT_BYTES:
         return None, None
     if chunk.snapshot != incoming.snapshot:
-        if incoming.snapshot is not None and now_ms - incoming.last_progress_ms < patience_ms:
+        if incoming.snapshot is not None and now_ms - incoming.last_progress_ms < sender_timeout_ms:
             return None, None
         incoming.snapshot, incoming.body = chunk.snapshot, bytearray()
         incoming.last_progress_ms = now_ms
-    room = chunk.snapshot.size - len(incoming.body)
-    if chunk.body and chunk.offset == len(incoming.body) and len(chunk.body) <= room:
+    remaining = chunk.snapshot.size - len(incoming.body)
+    if chunk.body and chunk.offset == len(incoming.body) and len(chunk.body) <= remaining:
         incoming.body += chunk.body
         incoming.last_progress_ms = now_ms
-    whole = _whole(incoming)
-    return ChunkAck(chunk.snapshot, chunk.sequence, len(incoming.body)), whole
+    body = _complete_body(incoming)
+    return ChunkAck(chunk.snapshot, chunk.sequence, len(incoming.body)), body
 
 
-def _whole(incoming):
-    """The body once it is complete; what doesn't match its checksum is dropped."""
+def _complete_body(incoming):
+    """Return the body if it is complete; a body with a wrong checksum is discarded."""
     if len(incoming.body) < incoming.snapshot.size:
         return None
     if zlib.crc32(incoming.body) != incoming.snapshot.checksum:
