--- a/libs/replication/src/replication/state_machine.py
+++ b/libs/replication/src/replication/state_machine.py
@@ -1,9 +1,9 @@
-"""The replicated state: what every depot, and every follower, makes of the log.
+"""The replicated state machine, which every depot and every feed follower runs.
 
-A state machine holds, for each shard, its epoch, its holder, its newest checkpoint and
-the records after it; and the depots' membership.  `apply` is the only way it
-changes and is the same everywhere.  Sections of a stale epoch or a wrong
-place change nothing, so a deposed holder can never add to a shard.
+It holds the depots' membership and, for each shard, its epoch, lease holder, newest checkpoint
+and the records after it.  `apply` is the only way to change it, and is deterministic.  Sections
+with a stale epoch or a wrong position change nothing, so a former lease holder can't add
+records to a shard.
 """
 
 import json
@@ -30,12 +30,17 @@
     "GROUP_SHARD",
 ]
 
+# Kinds of sections.
 RECORDS, CHECKPOINT, LEASE, MEMBERS, TERM = range(5)
+# The shard number in sections that concern the group itself.
 GROUP_SHARD = -1
 
 
 @dataclass
 class ShardState:
+    """A shard's lease, its newest checkpoint and the records after it; `next` is the position
+    of the next record, and `checkpoint_at` that of the last record in the checkpoint."""
+
     epoch: int = 0
     holder: str = ""
     incarnation: str = ""
@@ -48,6 +53,8 @@
 
 @dataclass
 class StateMachine:
+    """The replicated state; `members_stamp` is the log index of the current membership."""
+
     shards: dict = field(default_factory=dict)
     members: dict = field(default_factory=dict)
     members_stamp: int = 0
@@ -83,46 +90,48 @@
 
 
 def shard_of(state, shard):
+    """Return the state of a shard, creating it if necessary."""
     return state.shards.setdefault(shard, ShardState())
 
 
 def apply(state, section, index):
-    """Apply one section; say whether it changed anything."""
+    """Apply one section; return whether it changed the state."""
     if section.kind == MEMBERS:
         state.members = {m["identity"]: Member(**m) for m in json.loads(section.records[0])}
         state.members_stamp = index
         return True
     if section.kind == TERM:
         return False
-    part = shard_of(state, section.shard)
+    shard_state = shard_of(state, section.shard)
     if section.kind == LEASE:
-        if section.epoch != part.epoch + 1:
+        if section.epoch != shard_state.epoch + 1:
             return False
-        given = json.loads(section.records[0])
-        part.epoch, part.previous_holder = section.epoch, part.holder
-        part.holder, part.incarnation = given["holder"], given["incarnation"]
+        lease = json.loads(section.records[0])
+        shard_state.epoch, shard_state.previous_holder = section.epoch, shard_state.holder
+        shard_state.holder, shard_state.incarnation = lease["holder"], lease["incarnation"]
         return True
-    if section.epoch != part.epoch:
+    if section.epoch != shard_state.epoch:
         return False
     if section.kind == CHECKPOINT:
-        if not part.checkpoint_at < section.first < part.next:
+        if not shard_state.checkpoint_at < section.first < shard_state.next:
             return False
-        del part.records[: section.first - part.checkpoint_at]
-        part.checkpoint_at, part.checkpoint = section.first, section.records[0]
+        del shard_state.records[: section.first - shard_state.checkpoint_at]
+        shard_state.checkpoint_at, shard_state.checkpoint = section.first, section.records[0]
         return True
-    if section.first != part.next:
+    if section.first != shard_state.next:
         return False
-    part.records.extend(section.records)
-    part.next += len(section.records)
+    shard_state.records.extend(section.records)
+    shard_state.next += len(section.records)
     return True
 
 
 def apply_body(state, body, index):
-    """Apply a log entry's body and return the sections that counted."""
+    """Apply the body of a log entry; return the sections that changed the state."""
     return [s for s in from_bytes(Batch, body).sections if apply(state, s, index)]
 
 
 def snapshot(state):
+    """Encode the whole state."""
     return to_bytes(
         _StateSnapshot(
             tuple(
@@ -146,7 +155,8 @@
 
 
 def restore(body):
-    seen = from_bytes(_StateSnapshot, body)
+    """Decode a state that `snapshot` encoded."""
+    decoded = from_bytes(_StateSnapshot, body)
     return StateMachine(
         {
             s.shard: ShardState(
@@ -159,31 +169,37 @@
                 s.checkpoint,
                 list(s.records),
             )
-            for s in seen.shards
+            for s in decoded.shards
         },
-        {m.identity: m for m in seen.members},
-        seen.members_stamp,
+        {m.identity: m for m in decoded.members},
+        decoded.members_stamp,
     )
 
 
-def shard_snapshot(part):
-    """What a shard's next holder needs of it."""
-    return to_bytes(ShardContent(part.checkpoint_at, part.checkpoint, tuple(part.records)))
+def shard_snapshot(shard_state):
+    """Encode a shard's content for its next holder."""
+    return to_bytes(
+        ShardContent(shard_state.checkpoint_at, shard_state.checkpoint, tuple(shard_state.records))
+    )
 
 
 def restore_shard(body):
+    """Decode a `ShardContent` that `shard_snapshot` encoded."""
     return from_bytes(ShardContent, body)
 
 
 def lease_section(shard, epoch, holder, incarnation):
-    told = json.dumps({"holder": holder, "incarnation": incarnation}).encode()
-    return Section(shard, epoch, LEASE, 0, (told,))
+    """Return the section that grants a shard's lease."""
+    payload = json.dumps({"holder": holder, "incarnation": incarnation}).encode()
+    return Section(shard, epoch, LEASE, 0, (payload,))
 
 
 def members_section(members):
-    told = [vars(members[i]) for i in sorted(members)]
-    return Section(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(told).encode(),))
+    """Return the section that sets the membership."""
+    payload = [vars(members[i]) for i in sorted(members)]
+    return Section(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(payload).encode(),))
 
 
 def term_section(term):
+    """Return the section with which a new leader commits an entry of its own term."""
     return Section(GROUP_SHARD, term, TERM, 0, ())
