--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -193,8 +193,7 @@
     """Vote by the candidate's term, log and group alone.
 
     Membership isn't checked here: the voter's log may lack the entry that added it.  The
-    candidate counts only votes of the members that it knows.
-    """
+    candidate counts only votes of the members that it knows."""
     if not replica.group or request.group != replica.group:
         return []
     if not request.named and has_live_leader(replica, now_ms):
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -1,9 +1,9 @@
-"""A shard as its holder sees it: recover, append, act once durable.
+"""A lease holder's view of its shard: recover it, append records, act once they are durable.
 
-The holder learns of its lease from the feed, recovers the shard in pages, and
-then pipelines records.  What it appended is kept until the log node's
-cumulative position covers it, and is offered again to a new log node, which
-skips what it already has.  Actions wait behind the position they depend on.
+A holder learns of its lease from the feed, recovers the shard's content in chunks, and then
+sends records without waiting for replies.  It keeps them until the leader's durable position,
+which is cumulative, covers them.  It sends them again to a new leader, which skips those that
+it has.  An action that depends on a record waits until its position is durable.
 """
 
 from dataclasses import dataclass, field
@@ -36,7 +36,7 @@
 
 @dataclass
 class PreparedCheckpoint:
-    """A state after the record at `position`, to be offered until it counts."""
+    """The state after the record at `position`, to be sent until the feed confirms it."""
 
     position: int
     body: bytes
@@ -45,8 +45,11 @@
 
 @dataclass
 class ShardLog:
-    """`released`: given back, for good.  `refused_term`: the newest term whose leader has
-    called our epoch an old one."""
+    """A shard under one lease.
+
+    `next` is the position of the next record, `sent` that of the last record sent, and `unacked`
+    holds the records after `durable`.  `released`: the lease was given back.  `refused_term`:
+    the newest term whose leader refused the epoch as stale."""
 
     shard: int
     epoch: int
@@ -71,30 +74,32 @@
 
     @property
     def lost(self):
-        """Whether nothing may be done for this shard any more, as far as we know.  A
-        leader refuses our epoch as soon as it stages the next lease; if that lease never
-        becomes durable, the next leader still counts on us, so what one leader says binds
-        us only until there is another."""
+        """Whether the lease is lost, as far as is known.
+
+        A leader refuses the epoch as soon as it stages the next lease.  If that lease never
+        becomes durable, this one remains valid under the next leader, so a refusal holds only
+        until a leader of a newer term is known."""
         return self.released or (self.refused_term >= 0 and self.refused_term >= self.term)
 
 
 def request_recovery(log, now_ms, card, to):
+    """Ask the leader for the shard's content."""
     log.requested_ms = now_ms
     return [Send(to, RecoverAsk(log.shard, log.epoch, card.address, 0))]
 
 
 def on_chunk(log, now_ms, sender, message):
-    """Take a chunk of the shard: (effects, whether it is whole by now)."""
+    """Handle a chunk of the shard's content; returns (effects, whether it is complete)."""
     if log.ready or message.epoch != log.epoch:
         return [], False
     ack, whole = snapshot_transfer.on_chunk(log.incoming, message.chunk, now_ms)
     effects = [Send(sender, ShardChunkReply(log.shard, log.epoch, ack))] if ack else []
     if whole is not None:
-        _open(log, state_machine.restore_shard(whole))
+        _load_content(log, state_machine.restore_shard(whole))
     return effects, log.ready
 
 
-def _open(log, content):
+def _load_content(log, content):
     log.incoming = snapshot_transfer.Incoming()
     log.checkpoint_at, log.checkpoint = content.checkpoint_at, content.checkpoint
     log.records = list(content.records)
@@ -105,28 +110,29 @@
     log.ready = True
 
 
-def append(log, record, then=None):
-    """Add a record; `then` comes back from `on_durable` once it is safe."""
+def append(log, record, action=None):
+    """Append a record; `on_durable` returns `action` once the record is durable."""
     position = log.next
     log.next += 1
     log.unacked.append(record)
     log.bytes_since_checkpoint += len(record)
-    if then is not None:
-        log.waiting.append((position, then))
+    if action is not None:
+        log.waiting.append((position, action))
     return position
 
 
 def flush(log, now_ms, card, to):
-    """Send what was appended since the last flush, in sections of bounded size, and no
-    more of it on its way than a connection holds."""
+    """Send the records appended since the last flush, in sections of bounded size.
+
+    The bytes in flight stay below what a connection's send buffer holds."""
     if not log.ready or not to:
         return []
     effects = []
-    under_way = sum(len(r) for r in log.unacked[: log.sent - log.durable])
-    while log.sent < log.next - 1 and under_way < _IN_FLIGHT_BYTES:
+    bytes_in_flight = sum(len(r) for r in log.unacked[: log.sent - log.durable])
+    while log.sent < log.next - 1 and bytes_in_flight < _IN_FLIGHT_BYTES:
         first = log.sent + 1
         records = _section_records(log.unacked[first - log.durable - 1 :])
-        under_way += sum(len(record) for record in records)
+        bytes_in_flight += sum(len(record) for record in records)
         log.sent, log.sent_ms = log.sent + len(records), now_ms
         section = Section(log.shard, log.epoch, state_machine.RECORDS, first, records)
         effects.append(Send(to, Append(card.name, card.incarnation, section)))
@@ -134,7 +140,7 @@
 
 
 def _section_records(records):
-    """The first of `records` that go in one section: one at least."""
+    """Return the first records that fit into one section, but at least one."""
     size, count = 0, 0
     for record in records:
         size += len(record)
@@ -144,20 +150,21 @@
     return tuple(records[:count])
 
 
-def on_durable(log, place, now_ms):
-    """Move the durable position; return what was waiting for it."""
-    if place.epoch != log.epoch or place.position <= log.durable:
+def on_durable(log, durable_position, now_ms):
+    """Advance the durable position; return the actions that were waiting for it."""
+    if durable_position.epoch != log.epoch or durable_position.position <= log.durable:
         return []
-    del log.unacked[: place.position - log.durable]
-    log.durable = place.position
+    del log.unacked[: durable_position.position - log.durable]
+    log.durable = durable_position.position
     log.sent = max(log.sent, log.durable)
     log.sent_ms = now_ms
-    ready = [then for position, then in log.waiting if position <= log.durable]
+    ready = [action for position, action in log.waiting if position <= log.durable]
     log.waiting = [w for w in log.waiting if w[0] > log.durable]
     return ready
 
 
 def on_refused(log, message):
+    """Handle a leader's refusal: of the epoch, or of a position that leaves a gap."""
     if message.epoch != log.epoch:
         return
     if message.cause == "epoch":
@@ -167,38 +174,40 @@
 
 
 def resend(log, now_ms, term, retry_ms):
-    """A new log node, or a silent one: offer everything unacknowledged again."""
+    """Schedule all unacknowledged records to be sent again, for a new or a silent leader."""
     if term > log.term:
         log.term, log.sent = term, log.durable
     elif log.unacked and now_ms - log.sent_ms > retry_ms:
         log.sent = log.durable
 
 
-def checkpoint_due(log, most_records):
-    """Whether it is time for a new checkpoint: after some records, or once they have as
-    many bytes as the last checkpoint, so that a restart reads little and what checkpoints
-    cost stays in proportion to what is logged."""
+def checkpoint_due(log, max_records):
+    """Return whether a new checkpoint is due.
+
+    It is after some number of records, or once they have as many bytes as the last checkpoint,
+    so that a restart reads little and checkpoints cost no more than the records logged."""
     if log.prepared is not None:
         return False
     records = log.next - 1 - log.checkpoint_at
-    least = max(_CHECKPOINT_BYTES, log.checkpoint_bytes)
-    return records >= most_records or log.bytes_since_checkpoint >= least
+    threshold = max(_CHECKPOINT_BYTES, log.checkpoint_bytes)
+    return records >= max_records or log.bytes_since_checkpoint >= threshold
 
 
 def prepare_checkpoint(log, body):
-    """`body` is the state after all that was appended so far; it is offered once all of
-    that is durable, however much is appended meanwhile."""
+    """Prepare a checkpoint with `body`, the state after all records appended so far.
+
+    It is sent once these records are durable, whatever is appended meanwhile."""
     log.prepared = PreparedCheckpoint(log.next - 1, body)
     log.checkpoint_bytes, log.bytes_since_checkpoint = len(body), 0
 
 
-def send_checkpoint(log, now_ms, card, to, confirmed_at, retry_ms):
-    """Send a prepared checkpoint until the feed shows that it counts."""
+def send_checkpoint(log, now_ms, card, to, confirmed_position, retry_ms):
+    """Send a prepared checkpoint, repeatedly until the feed confirms it."""
     prepared = log.prepared
     if prepared is None or log.durable < prepared.position or not to:
         return []
-    if confirmed_at >= prepared.position:
-        log.checkpoint_at, log.prepared = confirmed_at, None
+    if confirmed_position >= prepared.position:
+        log.checkpoint_at, log.prepared = confirmed_position, None
         return []
     if now_ms - prepared.last_sent_ms < retry_ms:
         return []
@@ -209,9 +218,9 @@
     return [Send(to, Append(card.name, card.incarnation, section))]
 
 
-def barrier(log, then):
-    """`then` once all that is appended so far is durable; True if it already is."""
+def barrier(log, action):
+    """Return True if all appended records are durable; otherwise let `action` wait for them."""
     if log.durable >= log.next - 1:
         return True
-    log.waiting.append((log.next - 1, then))
+    log.waiting.append((log.next - 1, action))
     return False
