--- a/libs/membership/src/membership/__init__.py
+++ b/libs/membership/src/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Membership: how nodes find one another, and who watches whom."""
+"""Membership: the table of known nodes, gossip between them, and failure detection."""
 
 __all__ = ["peer_table"]
