--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -1,12 +1,10 @@
-"""The peer table: the cards of other nodes, learned from three seeds and spread.
+"""The peer table: the cards (name, role, address) of other nodes, spread by gossip.
 
-Every node greets its seeds until it knows the group, and from then on a small
-rendezvous-chosen set of peers, which it watches.  Greetings carry the cards
-one knows and the depots' membership; the membership of the highest term and
-stamp wins and a node never goes back to an older one.  Addresses learned are
-kept, so swapped seeds matter only to those who start.
-
-What is told is in `greetings`.  Of two cards of one node the later met is the present one.
+A node sends greetings to its seeds until it knows the depots' group, and then to a few peers
+chosen by rendezvous hashing, which it watches.  Greetings (see `greetings`) carry cards and the
+depots' membership; the membership with the highest term and stamp wins, and a node never goes
+back to an older one.  Learned addresses are kept, so changed seeds matter only to nodes that
+start.  Of two cards of one node, the one first seen later is the current one.
 """
 
 import random
@@ -31,13 +29,20 @@
     "lost",
 ]
 
-# After so many turns in which all peers knew what we know, greetings come more seldom.
-_SETTLED = 5
-_CALM = 2.0
+# After so many turns in which all watched peers knew the same cards, greetings are sent less
+# often: so many gossip intervals are added between them.
+_SETTLED_TURNS = 5
+_SETTLED_EXTRA_INTERVALS = 2.0
 
 
 @dataclass
 class PeerTable:
+    """What a node knows of the others, by name or, for the digests, by address.
+
+    `last_contact_ms` is the last greeting from a node itself, `alive_ms` the last time that any
+    node is known to have had contact with it.  `first_seen_ms` is when a card was first seen by
+    any node, `learned_ms` when it came here."""
+
     card: Card
     seeds: tuple
     random: random.Random
@@ -60,30 +65,32 @@
 
 
 def watched(peers):
-    """The few peers whose heartbeat this node minds."""
+    """Return the names of the few peers that this node greets regularly."""
     return list(summaries.of(peers).watched)
 
 
 def live(peers, now_ms):
+    """Return the names of the nodes with which some node had contact recently."""
     return [n for n, at_ms in peers.alive_ms.items() if now_ms - at_ms < peers.lost_ms]
 
 
-def lost(peers, now_ms, name, life):
-    """Whether a node's life is over: another began, or nobody heard of it lately."""
+def lost(peers, now_ms, name, incarnation):
+    """Return whether a node's process ended: it restarted, or was silent for too long."""
     card = peers.cards.get(name)
     if card is None or name == peers.card.name:
-        return card is not None and life != card.incarnation
-    return card.incarnation != life or (
+        return card is not None and incarnation != card.incarnation
+    return card.incarnation != incarnation or (
         now_ms - peers.alive_ms.get(name, now_ms) > 2 * peers.lost_ms
     )
 
 
 def digest(peers):
-    """What cards we know, our own included, in a few bytes."""
+    """Return a digest of the known cards, this node's own included."""
     return summaries.of(peers).digest
 
 
 def tick(peers, now_ms):
+    """Send greetings, if they are due: to watched peers, a random one, a depot, and seeds."""
     if now_ms < peers.next_ms:
         return []
     peers.next_ms = now_ms + peers.gossip_ms * (0.8 + 0.4 * peers.random.random())
@@ -100,41 +107,41 @@
     if depots:
         targets.add(depots[peers.turn % len(depots)])
     targets.discard(peers.card.address)
-    told = digest(peers)
-    known = all(
-        peers.digests.get(peers.cards[n].address, (0, 0))[0] == told for n in watched(peers)
+    own_digest = digest(peers)
+    all_agree = all(
+        peers.digests.get(peers.cards[n].address, (0, 0))[0] == own_digest for n in watched(peers)
     )
-    peers.settled_turns = peers.settled_turns + 1 if known and peers.group.group else 0
-    if peers.settled_turns > _SETTLED:
-        peers.next_ms += _CALM * peers.gossip_ms
+    peers.settled_turns = peers.settled_turns + 1 if all_agree and peers.group.group else 0
+    if peers.settled_turns > _SETTLED_TURNS:
+        peers.next_ms += _SETTLED_EXTRA_INTERVALS * peers.gossip_ms
     return [Send(to, greetings.greeting(peers, True, now_ms, to)) for to in sorted(targets)]
 
 
 def on_greet(peers, now_ms, sender, message):
-    """Learn from a greeting, and answer it if it asks for that."""
+    """Learn from a greeting, and reply if it asks for a reply."""
     effects = []
     if message.card.name and message.card.name != peers.card.name:
-        effects += _meet(peers, now_ms, message.card, None)
+        effects += _learn_card(peers, now_ms, message.card, None)
     peers.digests[message.card.address] = message.digest, message.names
     peers.group_digests[message.card.address] = message.group_digest
-    for number, card in enumerate(message.cards):
+    for index, card in enumerate(message.cards):
         if card.name != peers.card.name:
-            if number < len(message.ages):
-                effects += _meet(peers, now_ms, card, now_ms - message.ages[number])
-    _hear(peers, now_ms, message)
+            if index < len(message.ages):
+                effects += _learn_card(peers, now_ms, card, now_ms - message.ages[index])
+    _merge_silence(peers, now_ms, message)
     learn_group(peers, message.group, message.card.address)
     if message.answer:
         effects.append(Send(sender, greetings.greeting(peers, False, now_ms, sender)))
     return effects
 
 
-def _hear(peers, now_ms, message):
-    """Take how lately others have heard of each node."""
+def _merge_silence(peers, now_ms, message):
+    """Update `alive_ms` from the silence of each node that a greeting reports."""
     names, alive_ms = [card.name for card in message.cards], peers.alive_ms
     if len(message.silent) == len(peers.cards) + 1:
-        made = summaries.of(peers)
-        if message.names == made.names_digest:
-            names = made.names
+        summary = summaries.of(peers)
+        if message.names == summary.names_digest:
+            names = summary.names
     if len(message.silent) != len(names):
         return
     for name, steps in zip(names, message.silent):
@@ -146,35 +153,42 @@
                 alive_ms[name] = at_ms
 
 
-def _meet(peers, now_ms, card, first_seen_ms):
-    """A card heard directly (no `met_ms`) replaces the old one; hearsay only fills
-    gaps, or replaces one met before it whose node has been silent here."""
-    old, before = peers.cards.get(card.name), peers.first_seen_ms.get(card.name, -1e12)
+def _learn_card(peers, now_ms, card, first_seen_ms):
+    """Learn a card, from its own node (`first_seen_ms` is None) or from another one.
+
+    A node's own card replaces the known one.  A card from another node is taken only if none is
+    known, or if it was first seen later and the node has been silent here."""
+    known_card, known_since_ms = (
+        peers.cards.get(card.name),
+        peers.first_seen_ms.get(card.name, -1e12),
+    )
     if first_seen_ms is None:
         peers.last_contact_ms[card.name] = peers.alive_ms[card.name] = first_seen_ms = now_ms
-    elif old not in (None, card) and (
-        first_seen_ms <= before
+    elif known_card not in (None, card) and (
+        first_seen_ms <= known_since_ms
         or (now_ms - peers.last_contact_ms.get(card.name, -1e12) <= peers.lost_ms)
     ):
         return []
-    if old == card:
-        peers.first_seen_ms[card.name] = min(before, first_seen_ms)
+    if known_card == card:
+        peers.first_seen_ms[card.name] = min(known_since_ms, first_seen_ms)
         return []
     peers.cards[card.name], peers.first_seen_ms[card.name] = card, first_seen_ms
     peers.learned_ms[card.name] = now_ms
-    return [Note("meets", {"name": card.name, "address": card.address})] if old is None else []
+    return (
+        [Note("meets", {"name": card.name, "address": card.address})] if known_card is None else []
+    )
 
 
 def announce(peers, now_ms):
-    """Tell everyone known what we know, as a new leader does."""
+    """Send a greeting to every known node, as a new leader does."""
     return [
         Send(card.address, greetings.greeting(peers, False, now_ms, card.address))
         for _, card in sorted(peers.cards.items())
     ]
 
 
-def learn_group(peers, group, teller=""):
-    """Take what is newer; at the same term the leader's own word counts most."""
+def learn_group(peers, group, sender=""):
+    """Adopt a newer membership; within a term, the leader's own greeting takes precedence."""
     if not group.group or (peers.group.group and group.group != peers.group.group):
         return
     if (group.term, group.stamp, bool(group.leader)) > (
@@ -184,14 +198,16 @@
     ) or (
         group.term == peers.group.term
         and group.leader
-        and teller == group.leader
+        and sender == group.leader
         and group.stamp >= peers.group.stamp
     ):
         peers.group = group
 
 
 def counters(peers, now_ms):
-    """The counters there are to share an engine's slots with, us included."""
+    """Return the names of the live counters (nodes that route requests), this node included.
+
+    They share the slots of the engines."""
     return tuple(
         sorted(
             [peers.card.name]
@@ -205,8 +221,8 @@
 
 
 def depot_addresses(peers):
-    """Every depot there is to ask when the leader is silent."""
-    found = [m.address for m in peers.group.members] + [
+    """Return the addresses of all known depots, to ask when the leader is silent."""
+    addresses = [m.address for m in peers.group.members] + [
         c.address for c in peers.cards.values() if c.role == "depot"
     ]
-    return sorted(set(found) - {peers.card.address})
+    return sorted(set(addresses) - {peers.card.address})
--- a/libs/membership/src/membership/summaries.py
+++ b/libs/membership/src/membership/summaries.py
@@ -1,7 +1,7 @@
-"""What follows from the cards that a node knows, and from nothing else.
+"""Summaries of a peer table's cards: digests, the sorted names and the watched peers.
 
-Every greeting tells or asks for it, and cards change only when a node starts, so
-a table keeps what was made for as long as its cards stay the same.
+Every greeting needs them, while cards change only when a node starts, so a table caches its
+summary for as long as its cards stay the same.
 """
 
 import functools
@@ -11,16 +11,18 @@
 
 from transport.messages import Card
 
-__all__ = ["Summary", "group_digest", "made", "of", "weight", "WATCHED"]
+__all__ = ["Summary", "group_digest", "make", "of", "weight", "WATCHED"]
 
 WATCHED = 4
-"""How many peers a node watches."""
+"""The number of peers that a node watches."""
 
 
 @dataclass(frozen=True)
 class Summary:
-    """`digest` is of all cards, the node's own included, `names_digest` of their
-    names; `names` are in order; `watched` are the peers whom the node minds."""
+    """Values derived from a node's own card and its peers' cards.
+
+    `digest` covers all cards and `names_digest` their names, the node's own included; `names`
+    is sorted; `watched` has the names of the peers that the node watches."""
 
     card: Card
     cards: dict
@@ -30,33 +32,37 @@
     watched: tuple
 
 
-def made(card, cards):
-    known = sorted(
+def make(card, cards):
+    """Compute the summary of a node's own card and its peers' cards."""
+    described = sorted(
         (c.name, c.incarnation, c.address, c.identity, c.empty) for c in (card, *cards.values())
     )
     names = sorted([*cards, card.name])
-    near = sorted(cards, key=lambda n: weight(card.name, n))
-    return Summary(card, dict(cards), _crc(known), _crc(names), tuple(names), tuple(near[:WATCHED]))
+    by_weight = sorted(cards, key=lambda n: weight(card.name, n))
+    return Summary(
+        card, dict(cards), _crc(described), _crc(names), tuple(names), tuple(by_weight[:WATCHED])
+    )
 
 
 def of(peers):
-    """The summary of a peer table's present cards.
+    """Return the summary of a peer table's current cards, from its cache if they are unchanged.
 
-    Cards that are the same objects compare in no time, so this asks for no care of whoever
-    puts one into the table."""
-    known = peers.summary
-    if known is None or known.card != peers.card or known.cards != peers.cards:
-        known = peers.summary = made(peers.card, peers.cards)
-    return known
+    The comparison is fast, since cards that are the same objects compare at once; code that
+    changes the table need not invalidate the cache."""
+    summary = peers.summary
+    if summary is None or summary.card != peers.card or summary.cards != peers.cards:
+        summary = peers.summary = make(peers.card, peers.cards)
+    return summary
 
 
 @functools.lru_cache(maxsize=64)
 def group_digest(group):
-    """A number that differs for memberships that differ; never 0, which tells none."""
+    """Return a digest of a membership; never 0, which stands for an unknown one."""
     return _crc(group) or 1
 
 
 def weight(watcher, name):
+    """Return the rendezvous weight by which a node chooses the peers that it watches."""
     return hashlib.blake2b(f"{watcher}>{name}".encode(), digest_size=8).digest()
 
 
