--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -11,7 +11,7 @@
 from marshmallow import RAISE, Schema, ValidationError, fields, validate, validates_schema
 from placement import state as dispatching
 from quotas import terms as quota_terms
-from replication.group import Times
+from replication.group import GroupSettings
 from routing import router
 from transport import failures
 
@@ -193,8 +193,8 @@
 
 def times(config):
     back_ms = config.bounds.serviceBackMs
-    return Times(
-        elect_ms=0.04 * back_ms,
+    return GroupSettings(
+        election_ms=0.04 * back_ms,
         heartbeat_ms=0.01 * back_ms,
         ping_ms=0.02 * back_ms,
         revoke_ms=config.revokeRatio * back_ms,
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -50,7 +50,7 @@
     card: m.NodeInfo
     config: configs.Config
     peers: peer_table.PeerTable
-    follow: follows.Follow
+    follow: follows.FeedFollower
     floor: cluster_state.ClusterState
     owners: shard_ownership.ShardOwnership
     router: router.Router
@@ -89,7 +89,7 @@
         peer_table.PeerTable(
             card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
         ),
-        follows.Follow(),
+        follows.FeedFollower(),
         cluster_state.ClusterState(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing(config)),
@@ -171,7 +171,7 @@
 
 def _ask(node, now_ms):
     """Ping the log node; when it is silent, ask around, and ask fellows too."""
-    if now_ms - node.follow.asked_ms < node.times.ping_ms:
+    if now_ms - node.follow.requested_ms < node.times.ping_ms:
         return []
     to = leader_of(node)
     silent = now_ms - max(node.follow.direct_ms, node.learned_ms) > 2 * node.times.ping_ms
@@ -187,10 +187,12 @@
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
-                    follows.ask(node.follow, now_ms, operator_requests.asker(node), card.address)
+                    follows.make_request(
+                        node.follow, now_ms, operator_requests.asker(node), card.address
+                    )
                 )
     if to:
-        effects.append(follows.ask(node.follow, now_ms, operator_requests.asker(node), to))
+        effects.append(follows.make_request(node.follow, now_ms, operator_requests.asker(node), to))
     return effects
 
 
@@ -223,10 +225,10 @@
         return effects
     if isinstance(message, m.FreshnessMark):
         follows.on_mark(node.follow, message)
-        return follows.relay(node.follow, now_ms) + operator_requests.current(node, now_ms)
+        return follows.answer_relays(node.follow, now_ms) + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedEntries):
         effects = _news(node, now_ms, follows.on_items(node.follow, message))
-        effects += follows.relay(node.follow, now_ms)
+        effects += follows.answer_relays(node.follow, now_ms)
         return effects + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedChunk):
         effects, news = follows.on_chunk(node.follow, now_ms, node.card.name, sender, message)
@@ -236,7 +238,7 @@
         return follows.on_chunk_reply(node.follow, now_ms, sender, message)
     if isinstance(message, m.FeedRequest):
         if node.depot is None:
-            return follows.on_relay_ask(node.follow, now_ms, sender, message)
+            return follows.on_relay_request(node.follow, now_ms, sender, message)
         return []
     if isinstance(message, m.DurablePositions):
         return shard_ownership.on_durable(
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -79,7 +79,7 @@
                 lambda: Gossip(self._node.card, False, (), self._node.peers.group),
                 lambda sender, message: self._queue.put(e.Received(sender, message)),
                 self._note,
-                configs.times(config).elect_ms,
+                configs.times(config).election_ms,
             )
         except OSError as failed:
             raise CannotStart(failures.AddressTaken(config.listen)) from failed
@@ -90,7 +90,7 @@
             return None, None
         try:
             disk = disks.Disk(config.folder, 8 << 20)
-        except disks.DiskFailed as failed:
+        except disks.DiskError as failed:
             raise CannotStart(failed.failure) from failed
         identity = disk.loaded.files.get("identity")
         if identity is None:
@@ -104,7 +104,9 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.elect_at_ms = _now() + _FIRST_ELECT * group.times.elect_ms * (1 + random.random())
+        group.election_due_ms = _now() + _FIRST_ELECT * group.settings.election_ms * (
+            1 + random.random()
+        )
         return disk, group
 
     def _note(self, what, facts):
@@ -193,7 +195,7 @@
         try:
             for effect in nodes.handle(self._node, _now(), event):
                 self._do(effect)
-        except disks.DiskFailed as failed:
+        except disks.DiskError as failed:
             self._fail(failed.failure)
         except OSError as failed:
             self._fail(failures.DiskUntrusted("data folder", str(failed.strerror)))
@@ -232,14 +234,14 @@
         last = effect.entries[-1]
         claim = self._disk.reserve(effect)
         if effect.inline:
-            took_ms = self._disk.put(claim)
+            took_ms = self._disk.write_reserved(claim)
             self._feed(e.Written(last.index, last.term, took_ms))
         else:
             self._writes.submit(self._put, claim, last)
 
     def _put(self, claim, last):
         try:
-            self._queue.put(e.Written(last.index, last.term, self._disk.put(claim)))
+            self._queue.put(e.Written(last.index, last.term, self._disk.write_reserved(claim)))
         except OSError as failed:
             self._fail(failures.DiskUntrusted("log", str(failed.strerror)))
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -76,7 +76,7 @@
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, held_before=part.before == card.name)
+                else Placer(shard, part.epoch, held, held_before=part.previous_holder == card.name)
             )
             effects.append(LogLine("holds", {"shard": shard, "epoch": part.epoch}, True))
         elif kept and not mine and part.epoch > kept.epoch:
@@ -91,8 +91,8 @@
     for kept in ownership.owners.values():
         held = kept.held
         if not held.ready:
-            if leader and now_ms - held.asked_ms > times.ping_ms:
-                effects += shard_log.recover(held, now_ms, card, leader)
+            if leader and now_ms - held.requested_ms > times.ping_ms:
+                effects += shard_log.request_recovery(held, now_ms, card, leader)
             continue
         shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
         if kept.shard == 0:
@@ -123,7 +123,7 @@
         body = registries.dump(kept.registry) if kept.shard == 0 else ledgers.dump(kept.ledger)
         shard_log.prepare_checkpoint(held, body)
     retry_ms = times.revoke_ms
-    return shard_log.offer_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
+    return shard_log.send_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
 
 
 def on_chunk(ownership, now_ms, sender, message, terms):
--- a/libs/simulation/src/simulation/model/machine.py
+++ b/libs/simulation/src/simulation/model/machine.py
@@ -40,8 +40,8 @@
     reread: bool = True
 
     def times(self, first=True):
-        return groups.Times(
-            elect_ms=ELECT_MS,
+        return groups.GroupSettings(
+            election_ms=ELECT_MS,
             heartbeat_ms=120.0,
             ping_ms=240.0,
             revoke_ms=3000.0,
--- a/libs/simulation/src/simulation/model/mutants.py
+++ b/libs/simulation/src/simulation/model/mutants.py
@@ -124,14 +124,14 @@
         "one-group",
         [
             (bootstrap, "tick", variants.founds(bootstrap.tick)),
-            (bootstrap, "on_ask", variants.founds(bootstrap.on_ask)),
+            (bootstrap, "on_request", variants.founds(bootstrap.on_request)),
         ],
         script="two_groups",
     ),
     Mutant(
         "durable told before it is",
         "answers-kept",
-        [(batch_writer, "settle", variants.settles_early)],
+        [(batch_writer, "report_durable", variants.settles_early)],
     ),
     Mutant(
         "reads not confirmed by a majority",
--- a/libs/simulation/src/simulation/mutants_of_control.py
+++ b/libs/simulation/src/simulation/mutants_of_control.py
@@ -44,8 +44,8 @@
         "never-back",
         lambda d: [step(2000, "cut-one-way", f"c{i}", 6000) for i in (0, 1)],
         lambda: [
-            (follower, "_reached", breaking.never_reached),
-            (follower, "_catch_up", breaking.older),
+            (follower, "_already_applied", breaking.never_reached),
+            (follower, "_entries_or_snapshot", breaking.older),
         ],
     ),
     Mutant(
@@ -58,7 +58,7 @@
             (
                 log_replication,
                 "count",
-                lambda g: log_commit.advance(g, g.synced) if g.synced > g.commit else [],
+                lambda g: log_commit.advance_commit(g, g.synced) if g.synced > g.commit else [],
             )
         ],
     ),
@@ -70,7 +70,7 @@
             (
                 log_replication,
                 "count",
-                lambda g: log_commit.advance(g, g.synced) if g.synced > g.commit else [],
+                lambda g: log_commit.advance_commit(g, g.synced) if g.synced > g.commit else [],
             )
         ],
         seeds=(3, 4, 8, 11),
--- a/libs/simulation/src/simulation/restart_cost.py
+++ b/libs/simulation/src/simulation/restart_cost.py
@@ -86,7 +86,7 @@
         if not replica.group:
             replica.group = "g"
             replica.founders = (Member("d0", "d0", self._config.address),)
-            self.disk.write(replicas.save_promise(replica))
+            self.disk.write(replicas.save_persistent_state(replica))
         dialect = SimpleNamespace(reader=self._reader)
         life = f"d0.{self._now_ms}"
         self.node = nodes.make(self._config, life, 1, replica, dialect)
@@ -141,7 +141,7 @@
 
     def restart(self):
         """Stop, start, and wait until the newest change is known; what it took."""
-        self.until(lambda: self.node.follow.place == self.node.depot.group.commit)
+        self.until(lambda: self.node.follow.position == self.node.depot.group.commit)
         edition = self.node.floor.registry.document["edition"]
         self.stop()
         folder_bytes = sum(p.stat().st_size for p in Path(self._folder).iterdir())
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -68,10 +68,10 @@
         self.node = SimpleNamespace(
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
-            follow=follower.Follow(current_ms=NOW_MS - age_ms),
+            follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
             floor=cluster_state.ClusterState(SHARDS, registry=registry),
             router=router.Router(TERMS),
-            times=SimpleNamespace(elect_ms=300.0),
+            times=SimpleNamespace(election_ms=300.0),
         )
         self._stamp, self.told = 0, {}
         self.configure(tenants or {})
--- a/tests/test_desk.py
+++ b/tests/test_batch_writer.py
@@ -18,7 +18,7 @@
     ShardChunkReply,
 )
 
-TIMES = dict(elect_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
+TIMES = dict(election_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
 
 
 class Table:
@@ -30,7 +30,7 @@
             "d0",
             "id0",
             "a",
-            groups.Times(**TIMES, group_wait=group_wait, depots=1),
+            groups.GroupSettings(**TIMES, group_wait=group_wait, depots=1),
             random.Random(1),
             group="g",
             term=1,
@@ -78,7 +78,7 @@
                         BatchSection(shard, 1, state_machine.RECORDS, first, (b"{}",)),
                     )
                 )
-            self.do(batch_writer.settle(self.g, self.d, self.now))
+            self.do(batch_writer.report_durable(self.g, self.d, self.now))
             self.do(batch_writer.write_due(self.g, self.d, self.now))
             wake_ms = batch_writer.wake_at(self.g, self.d, self.now)
             if wake_ms is not None:
@@ -140,8 +140,8 @@
         table.do(batch_writer.write_due(table.g, table.d, 0.0))
         staged = BatchSection(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         table.do(batch_writer.stage(table.g, table.d, 0.0, "old", staged))
-        nodes = leases.NodeTable(seen={"new": leases.Seen("n", "n.1", "counter", 0.0)})
-        leases._lease(table.g, table.d, nodes, 1, "new")
+        nodes = leases.NodeTable(contacts={"new": leases.NodeContact("n", "n.1", "counter", 0.0)})
+        leases._grant(table.g, table.d, nodes, 1, "new")
         self.assertThat([s.kind for s in table.d.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(table.g, table.d, 0.0, "old", staged)[0].message
         self.assertThat(late.cause, Equals("epoch"))
--- a/tests/test_engine_changes.py
+++ b/tests/test_engine_changes.py
@@ -11,7 +11,7 @@
 from placement import cluster_state, registry_view
 from placement import ledger as ledgers
 from replication import state_machine
-from replication.follower import News
+from replication.follower import FeedUpdate
 from routing import choice, router
 from routing.choice import Crew
 
@@ -109,7 +109,7 @@
         now_ms = 250.0 * number
         if kind == "news":
             sections = tuple(_Section(shard, record) for shard, record in told)
-            cluster_state.apply_update(cluster, None, News(sections))
+            floors.on_news(floor, None, FeedUpdate(sections))
         elif kind == "broke":
             choice.broke(incremental, now_ms, told)
             choice.broke(full_scan, now_ms, told)
@@ -126,9 +126,9 @@
     cluster, crew = new_cluster(), Crew("c", ("c",))
     incremental, full_scan = router.Router(TERMS), router.Router(TERMS)
     announced = tuple(_Section(*engine_record(name, "join", "models", 0)) for name in NAMES)
-    cluster_state.apply_update(cluster, None, News(announced))
-    for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *steps_taken]):
-        cluster_state.apply_update(cluster, None, News((_Section(*told),)))
+    floors.on_news(floor, None, FeedUpdate(announced))
+    for number, (told, looks) in enumerate([(gone_record("e0", "models"), True), *taken]):
+        floors.on_news(floor, None, FeedUpdate((_Section(*told),)))
         if looks:
             full_scan.noticed_changes = -1
             router.wake(incremental, 250.0 * number, cluster, 0.0, crew)
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -35,7 +35,7 @@
         self.depot.writer.serving = True
         self.depot.group.progress = {}
         self.depot.group.founders = (m.Member("a", "a", "a"),)
-        self.follow = follower.Follow()
+        self.follow = follower.FeedFollower()
         self.card = m.NodeInfo("f", "counter", "z", "f", "f", "f.1")
         self.now_ms, self.passes = 0.0, lambda message: True
         self.largest = self.chunk_bytes = self.item_bytes = self.rebuilt = 0
@@ -45,12 +45,12 @@
         body = batch(1, number, random.Random(number).randbytes(size))
         log_replication.propose(replica, self.now_ms, body)
         replica.synced = replicas.last_index(replica)
-        log_commit.advance(replica, replica.synced)
+        log_commit.advance_commit(replica, replica.synced)
         log_compaction.trim(replica)
 
     def ping(self):
         self.now_ms += 240.0
-        ask = follower.ask(self.follow, self.now_ms, self.card, "a")
+        ask = follower.make_request(self.follow, self.now_ms, self.card, "a")
         queue = [ask]
         while queue:
             effect = queue.pop(0)
@@ -58,7 +58,7 @@
                 continue
             self._count(effect.message)
             if effect.to == "a":
-                queue += depots._receive(self.depot, self.now_ms, "f", effect.message, "g")
+                queue += depots._on_message(self.depot, self.now_ms, "f", effect.message, "g")
             elif effect.to == "f":
                 queue += self._take(effect.message)
 
@@ -89,7 +89,7 @@
     def test_a_large_state_comes_whole(self):
         feeding = Feeding(40 << 20)
         feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(100))
+        self.assertThat(feeding.follow.position, Equals(100))
         self.assertThat(feeding.follow.state, Equals(feeding.depot.group.state))
         self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
 
@@ -105,21 +105,23 @@
         left[0] = 1 << 30
         for _ in range(12):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(158))
+        self.assertThat(feeding.follow.position, Equals(158))
         self.assertThat(feeding.rebuilt, Equals(1))
         self.assertThat(feeding.chunk_bytes, LessThan(6 << 20))
 
     def test_entries_are_bounded_by_bytes(self):
         feeding = Feeding(1000)
         feeding.ping()
-        feeding.depot.group.times = replicas.Times(480.0, 120.0, 240.0, 3000.0, keep_bytes=64 << 20)
+        feeding.depot.group.settings = replicas.GroupSettings(
+            480.0, 120.0, 240.0, 3000.0, keep_bytes=64 << 20
+        )
         feeding.passes = lambda message: False
         for number in range(2, 42):
             feeding.commit(number, 1 << 20)
         feeding.passes = lambda message: True
         for _ in range(60):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(140))
+        self.assertThat(feeding.follow.position, Equals(140))
         self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
 
     def test_what_is_on_its_way_is_not_sent_again(self):
@@ -137,15 +139,15 @@
         feeding.passes = lambda message: True
         for _ in range(30):
             feeding.ping()
-        self.assertThat(feeding.follow.place, Equals(120))
+        self.assertThat(feeding.follow.position, Equals(120))
 
     def test_many_that_start_at_once_take_turns(self):
         feeding = Feeding()
         cards = [m.NodeInfo(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
         sent = 0
         for card in cards:
-            ask = follower.ask(follower.Follow(), 0.0, card, "a").message
-            found = depots._receive(feeding.depot, 0.0, card.address, ask, "g")
+            ask = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
+            found = depots._on_message(feeding.depot, 0.0, card.address, ask, "g")
             sent += sum(isinstance(e.message, m.FeedChunk) for e in found)
         self.assertThat(sent, LessThan(20))
         self.assertThat(sent, GreaterThan(4))
@@ -154,16 +156,16 @@
 
 class Fellows(TestCase):
     def test_a_fellow_hands_on_a_large_state(self):
-        ahead, behind = follower.Follow(), follower.Follow()
+        ahead, behind = follower.FeedFollower(), follower.FeedFollower()
         feeding = Feeding()
         feeding.follow = ahead
         feeding.ping()
         now_ms, largest = 10_000.0, 0
         ahead.current_ms = now_ms + 1
         card = m.NodeInfo("g", "counter", "z", "g", "g", "g.1")
-        ask = follower.ask(behind, now_ms, card, "f").message
-        follower.on_relay_ask(ahead, now_ms, "g", ask)
-        queue = follower.relay(ahead, now_ms)
+        ask = follower.make_request(behind, now_ms, card, "f").message
+        follower.on_relay_request(ahead, now_ms, "g", ask)
+        queue = follower.answer_relays(ahead, now_ms)
         while queue:
             effect = queue.pop(0)
             largest = max(largest, len(frames.pack(effect.message)))
@@ -171,13 +173,13 @@
                 queue += follower.on_chunk(behind, now_ms, "g", "f", effect.message)[0]
             elif isinstance(effect.message, m.FeedChunkReply):
                 queue += follower.on_chunk_reply(ahead, now_ms, "g", effect.message)
-        self.assertThat(behind.place, Equals(100))
+        self.assertThat(behind.position, Equals(100))
         self.assertThat(behind.state, Equals(ahead.state))
         self.assertThat(largest, LessThan(MOST_MESSAGE_BYTES))
-        self.assertThat(ahead.relayed, Equals({}))
+        self.assertThat(ahead.relay_transfers, Equals({}))
 
     def test_what_a_fellow_keeps_is_bounded_by_bytes(self):
-        follow = follower.Follow()
+        follow = follower.FeedFollower()
         for index in range(1, 200):
             entry = m.Entry(index, 1, batch(1, index, bytes(200_000)))
             follower.on_items(follow, m.FeedEntries(1, index, (entry,)))
@@ -191,7 +193,9 @@
         """Pings of a holder until it has its shard; the bytes that were sent."""
         sent, card = 0, m.NodeInfo("h", "counter", "z", "h", "h", "h.1")
         for turn in range(100):
-            queue = [("a", e.message) for e in shard_log.recover(log, turn * 240.0, card, "a")]
+            queue = [
+                ("a", e.message) for e in shard_log.request_recovery(log, turn * 240.0, card, "a")
+            ]
             while queue:
                 to, message = queue.pop(0)
                 if isinstance(message, m.ShardChunk):
--- a/tests/test_promises.py
+++ b/tests/test_persistent_state.py
@@ -26,7 +26,7 @@
         self.files, self.entries, self.writes = {}, [], []
 
     def promise(self):
-        return from_bytes(replicas.Promise, self.files["promise"])
+        return from_bytes(replicas.PersistentState, self.files["promise"])
 
     def install(self, effect):
         self.files["view"] = effect.body
@@ -56,8 +56,8 @@
         self.steps, self.cut_off, self.chunks = 0, None, 0
         for name in NAMES:
             depot = make_depot(name)
-            depot.group.elect_at_ms = self.rng.random() * 500
-            self.folders[name].files["promise"] = replicas.save_promise(depot.group).body
+            depot.group.election_due_ms = self.rng.random() * 500
+            self.folders[name].files["promise"] = replicas.save_persistent_state(depot.group).body
             self.depots[name] = depot
 
     def step(self):
@@ -120,7 +120,7 @@
             folder.sync(effect)
         folder.writes = []
         depot = make_depot(name)
-        depot.group.elect_at_ms = self.now_ms + 500 * (1 + self.rng.random())
+        depot.group.election_due_ms = self.now_ms + 500 * (1 + self.rng.random())
         replicas.open_replica(depot.group, folder.files, folder.read())
         self.depots[name] = depot
 
@@ -163,14 +163,14 @@
 class Promises(TestCase):
     def test_whatever_is_lost(self):
         """Snapshots are taken after few bytes, so that some members are sent one."""
-        times = replicas.Times(**{**vars(TIMES), "keep_bytes": 2000})
+        times = replicas.GroupSettings(**{**vars(TIMES), "keep_bytes": 2000})
         self.patch(log_compaction, "_KEPT_ENTRIES", 2)
         chunks = 0
         for seed in range(6):
             walk = Walk(self, seed)
             for _ in range(STEPS):
                 for depot in walk.depots.values():
-                    depot.group.times = times
+                    depot.group.settings = times
                 walk.step()
             chunks += walk.chunks
             self.assertThat(walk.leads, GreaterThan(0), f"seed {seed}")
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -24,10 +24,10 @@
     return SimpleNamespace(
         closing=False,
         config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=10 * STALE_MS)),
-        follow=follower.Follow(current_ms=NOW_MS - age_ms),
+        follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
         floor=cluster_state.ClusterState(4, registry=registry),
         router=router.Router(terms),
-        times=SimpleNamespace(elect_ms=300.0),
+        times=SimpleNamespace(election_ms=300.0),
     )
 
 
