--- a/libs/pulleyhitch/src/pulleyhitch/admission.py
+++ b/libs/pulleyhitch/src/pulleyhitch/admission.py
@@ -10,7 +10,7 @@
 from http import HTTPStatus
 
 from configuration.schema import RANK
-from routing.callers import LIMIT_BYTES as TASK_LIMIT_BYTES
+from routing.caller_api import LIMIT_BYTES as TASK_LIMIT_BYTES
 from transport import failures
 
 from pulleyhitch import request_framing
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -10,7 +10,7 @@
 
 from marshmallow import RAISE, Schema, ValidationError, fields, validate, validates_schema
 from placement import state as dispatching
-from quotas import terms as quota_terms
+from quotas import settings as quota_settings
 from replication.group import Times
 from routing import router
 from transport import failures
@@ -241,7 +241,7 @@
 
 def quotas(config):
     bounds = config.bounds
-    return quota_terms.Terms(
+    return quota_settings.Terms(
         float(bounds.quotaWindowMs),
         bounds.quotaOverrun,
         bounds.quotaAllowance,
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -9,7 +9,7 @@
 import secrets
 import threading
 
-from routing import answers
+from routing import responses
 from routing.relaying import Relaying
 from transport import failures
 from transport.ends import hung_up
@@ -107,7 +107,7 @@
             response = Response(body, status, headers)
         else:
             response = self._relaying.serve(token, told, step, environ)
-        return answers.given(response, environ, start_response)
+        return responses.given(response, environ, start_response)
 
 
 class OperatorGateway:
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -12,7 +12,7 @@
 from placement import floor as floors
 from replication import depot as depots
 from replication import follower as follows
-from routing import engine_lives, refusal_notes, router
+from routing import engine_tracking, refusal_log, router
 from transport import events as e
 from transport import messages as m
 from transport.effects import Finished, Send
@@ -163,7 +163,7 @@
     effects += router.tick(node.router, now_ms, node.floor)
     effects += quota_requests.tick(node, now_ms, operator_requests.crew)
     effects += _wake(node, now_ms)
-    effects += refusal_notes.drain(node.router)
+    effects += refusal_log.drain(node.router)
     return effects + operator_requests.tick(node, now_ms)
 
 
@@ -194,7 +194,7 @@
 
 def _wake(node, now_ms):
     """Those in line try again; whom there is to share with matters only to them."""
-    engine_lives.notice(node.router, now_ms, node.floor)
+    engine_tracking.notice(node.router, now_ms, node.floor)
     if not any(task.waiting for task in node.router.tasks.values()):
         return []
     return router.wake(
--- a/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
@@ -12,8 +12,8 @@
 from cleo.commands.command import Command
 from cleo.helpers import argument, option
 from configuration import templates
-from routing import legs
-from routing.engines import Ask, read_json
+from routing import engine_calls
+from routing.engine_api import Ask, read_json
 from transport import failures
 
 __all__ = ["COMMANDS"]
@@ -29,7 +29,9 @@
 def _request(node, method, path, body=None, headers=()):
     """(status, body) from a node; status 0 if there was no answer."""
     data = json.dumps(body).encode() if body is not None else b""
-    ended = legs.call(Ask(method, f"http://{node}{path}", data), 20000, headers=list(headers))
+    ended = engine_calls.call(
+        Ask(method, f"http://{node}{path}", data), 20000, headers=list(headers)
+    )
     return ended.code, read_json(ended.data) or {}
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -12,7 +12,7 @@
 from configuration.schema import RANK
 from membership import peer_table
 from replication import follower as follows
-from routing import choice, resuming, router
+from routing import engine_choice, resuming, router
 from transport import failures
 from transport.effects import Reply
 
@@ -132,7 +132,9 @@
 
 
 def crew(node, now_ms):
-    return choice.Crew(node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone)
+    return engine_choice.Crew(
+        node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone
+    )
 
 
 def _task(node, now_ms, token, told):
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -14,8 +14,8 @@
 
 from replication import disk as disks
 from replication import group as groups
-from routing import engines, legs, passing
-from routing.pool import Pool
+from routing import engine_api, engine_calls, proxying
+from routing.connection_pool import Pool
 from transport import events as e
 from transport import failures
 from transport.connections import Connections
@@ -235,12 +235,14 @@
     def _call(self, effect):
         told = {**effect.body, "engine": effect.engine, "holder": self.config.name}
         if self.dialect is None:
-            ask = engines.order_ask(effect.url, effect.verb, effect.body)
-            ended = legs.call(ask, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms)
-            body = engines.read_json(ended.data) if ended.code else {}
+            ask = engine_api.order_ask(effect.url, effect.verb, effect.body)
+            ended = engine_calls.call(
+                ask, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms
+            )
+            body = engine_api.read_json(ended.data) if ended.code else {}
         else:
             ask = self.dialect.call_ask(effect.url, effect.verb, told)
-            ended = passing.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
+            ended = proxying.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
             body = self.dialect.read_call(effect.verb, told, ended.code, ended.data)
         kept = ended.head is not None and ended.head.kept
         self._queue.put(e.Called(effect.id, ended.code, body or {}, ended.begun, kept))
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -8,11 +8,10 @@
 from dataclasses import dataclass, field
 
 from configuration import registry as registries
-from quotas import depot_choice, granting, spending
-from quotas import standing as standings
-from quotas.terms import Limit
+from quotas import depot_choice, grant_shares, granting, spending
+from quotas.settings import Limit
 from replication import follower as follows
-from routing import router, waiting_line
+from routing import router, wait_queue
 from transport import failures
 from transport.effects import Note, Send
 from transport.messages import QuotaGrant
@@ -35,7 +34,7 @@
 
     spending: spending.Spending
     granting: granting.Granting
-    standing: standings.Standing | None = None
+    standing: grant_shares.Standing | None = None
     untold: dict = field(default_factory=dict)
     told_ms: float = -1e12
 
@@ -47,7 +46,7 @@
     stands = None
     if group is not None:
         restarted = bool(group.group)
-        stands = standings.Standing(group.identity, terms.trust_ms, config.depots, restarted)
+        stands = grant_shares.Standing(group.identity, terms.trust_ms, config.depots, restarted)
     spends = spending.Spending(config.name, terms, number)
     return Quotas(spends, granting.Granting(terms), stands)
 
@@ -62,11 +61,11 @@
     _learn_depots(node)
     outcome = spending.take(node.quotas.spending, now_ms, limit, task.token)
     if isinstance(outcome, spending.Pending):
-        if not waiting_line.is_open(node.router, task):
+        if not wait_queue.is_open(node.router, task):
             spending.forget(node.quotas.spending, task.token)
             full = failures.Overloaded(_LINE_FULL_RETRY_MS, "line-full")
             return effects + router.refuse(node.router, task, full)
-        waiting_line.await_quota(task, now_ms)
+        wait_queue.await_quota(task, now_ms)
     else:
         effects += _decided(node, now_ms, crew, task, outcome)
     return effects + _advance(node, now_ms, lambda *_: crew)
@@ -122,7 +121,7 @@
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
     _observe(node, now_ms)
-    share = standings.share(node.quotas.standing, now_ms, follows.age(node.follow, now_ms))
+    share = grant_shares.share(node.quotas.standing, now_ms, follows.age(node.follow, now_ms))
     share = None if node.closing else share
     return [Send(sender, granting.on_ask(node.quotas.granting, now_ms, message, share))]
 
@@ -130,7 +129,7 @@
 def _observe(node, now_ms):
     """The committed membership, of which this node's marks tell how current it is."""
     founders = {member.identity for member in node.depot.group.founders}
-    standings.observe(node.quotas.standing, now_ms, node.follow.state.members, founders)
+    grant_shares.observe(node.quotas.standing, now_ms, node.follow.state.members, founders)
 
 
 def on_grant(node, now_ms, sender, message, crew_of):
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -15,7 +15,7 @@
 import secrets
 
 from configuration.schema import RANK
-from routing import callers, serving
+from routing import caller_api, serving
 from routing.router import Done
 from transport import failures
 from werkzeug.exceptions import HTTPException
@@ -129,10 +129,10 @@
         return token, told, future
 
     def _read_task(self, request, route=None):
-        body = callers.read_body(request)
+        body = caller_api.read_body(request)
         if isinstance(body, failures.Failure):
             return body
-        return callers.read_task(body, route, self._config.deadlineMs)
+        return caller_api.read_task(body, route, self._config.deadlineMs)
 
     def _read_route(self, request, name):
         found = self._process.ask(secrets.token_hex(8), "route", {"name": name})
@@ -142,7 +142,7 @@
         return self._read_task(request, found.body)
 
     def _read_lookup(self, request, service, key):
-        return callers.read_lookup(service, key, self._config.deadlineMs)
+        return caller_api.read_lookup(service, key, self._config.deadlineMs)
 
     def _app(self, environ, start_response):
         request = Request(environ)
@@ -150,7 +150,7 @@
             endpoint, values = _RULES.bind_to_environ(environ).match()
             response = getattr(self, "_" + endpoint)(request, **values)
         except HTTPException as wrong:
-            response = callers.answer(
+            response = caller_api.answer(
                 {
                     "failure": "not-found" if wrong.code == 404 else "http-wrong",
                     "cause": wrong.name,
@@ -162,28 +162,28 @@
     def _ask(self, verb, body):
         outcome = self._process.ask(secrets.token_hex(8), verb, body)
         if isinstance(outcome, failures.Failure):
-            return callers.refusal(outcome)
+            return caller_api.refusal(outcome)
         if isinstance(outcome, Answered):
-            response = callers.answer(outcome.body, outcome.status)
+            response = caller_api.answer(outcome.body, outcome.status)
             if "retryMs" in outcome.body:
                 response.headers["Retry-After"] = str(-(-outcome.body["retryMs"] // 1000))
             return response
-        return callers.answer(outcome if not isinstance(outcome, Done) else {})
+        return caller_api.answer(outcome if not isinstance(outcome, Done) else {})
 
     def _task(self, request, **values):
         """Its first step was taken before a thread was given to the rest."""
         if "pulleyhitch.step" not in request.environ:
-            return callers.refusal(failures.NotFound("callers are served by counters"))
+            return caller_api.refusal(failures.NotFound("callers are served by counters"))
         token, told, step = request.environ["pulleyhitch.step"]
         if isinstance(step, failures.Failure):
-            return callers.refusal(step)
+            return caller_api.refusal(step)
         return self._serving.serve(token, told, step, request.environ)
 
     _route = _lookup = _task
 
     def _read(self, request, what):
         if what not in _READS:
-            return callers.refusal(failures.NotFound(what))
+            return caller_api.refusal(failures.NotFound(what))
         return self._ask("read", {"what": what, "name": request.args.get("name", "")})
 
     def _fleet(self, request):
@@ -193,18 +193,18 @@
         return self._ask("believes", {})
 
     def _change(self, request, verb):
-        body = callers.read_body(request, _LAYOUT_BYTES)
+        body = caller_api.read_body(request, _LAYOUT_BYTES)
         if isinstance(body, failures.Failure):
-            return callers.refusal(body)
+            return caller_api.refusal(body)
         actor = request.headers.get("X-Partner", "")
         wanted = self._config.tokens.get(actor)
         given = request.headers.get("Authorization", "").removeprefix("Bearer ")
         if self._config.tokens and (
             wanted is None or not hmac.compare_digest(wanted.encode(), given.encode())
         ):
-            return callers.refusal(failures.WrongPartner(actor, "(token)"))
+            return caller_api.refusal(failures.WrongPartner(actor, "(token)"))
         if _PLATFORM in self._config.tokens and (verb == "engines") != (actor == _PLATFORM):
-            return callers.refusal(failures.WrongPartner(actor, f"({verb})"))
+            return caller_api.refusal(failures.WrongPartner(actor, f"({verb})"))
         # The id under which a command travels is the node's own: two operators who
         # chose the same would be given each other's answers.
         body.pop("id", None)
--- a/libs/quotas/src/quotas/standing.py
+++ b/libs/quotas/src/quotas/grant_shares.py
@@ -51,48 +51,48 @@
     earlier: list = field(default_factory=list)
 
 
-def observe(standing, now_ms, members, founders):
+def observe(eligibility, now_ms, members, founders):
     """Note the committed membership, as this depot follows it, and who founded the group,
     all given as identities."""
     members = frozenset(members)
     if not members:
         return
-    if members != standing.members:
-        _count(standing, now_ms, _counted(standing, members))
-        standing.members = members
-    if standing.identity not in members:
-        standing.since_ms, standing.removed = None, True
-    elif standing.since_ms is None:
-        standing.since_ms = _since_ms(standing, now_ms, founders)
+    if members != eligibility.members:
+        _count(eligibility, now_ms, _counted(eligibility, members))
+        eligibility.members = members
+    if eligibility.identity not in members:
+        eligibility.since_ms, eligibility.removed = None, True
+    elif eligibility.since_ms is None:
+        eligibility.since_ms = _since_ms(eligibility, now_ms, founders)
 
 
-def _since_ms(standing, now_ms, founders):
-    if standing.removed or standing.identity not in founders:
-        return now_ms + standing.trust_ms
-    return now_ms if standing.restarted else _ALWAYS_MS
+def _since_ms(eligibility, now_ms, founders):
+    if eligibility.removed or eligibility.identity not in founders:
+        return now_ms + eligibility.trust_ms
+    return now_ms if eligibility.restarted else _ALWAYS_MS
 
 
-def _counted(standing, after):
+def _counted(eligibility, after):
     """The members to be counted after a change; one that was seen only in part counts all
     of them, and one that may have been before a restart as if there had been one more."""
-    before = standing.members
+    before = eligibility.members
     if not before:
-        return standing.depots + standing.restarted
+        return eligibility.depots + eligibility.restarted
     if len(before ^ after) <= 1:
         return len(before)
     return len(before | after)
 
 
-def _count(standing, now_ms, members):
-    standing.earlier = [count for count in standing.earlier if count.until_ms > now_ms]
-    standing.earlier.append(_Count(members, now_ms + standing.trust_ms))
+def _count(eligibility, now_ms, members):
+    eligibility.earlier = [count for count in eligibility.earlier if count.until_ms > now_ms]
+    eligibility.earlier.append(_Count(members, now_ms + eligibility.trust_ms))
 
 
-def share(standing, now_ms, mark_age_ms):
+def share(eligibility, now_ms, mark_age_ms):
     """The Share that may be granted now, or None."""
-    if standing.since_ms is None or now_ms < standing.since_ms:
+    if eligibility.since_ms is None or now_ms < eligibility.since_ms:
         return None
-    if mark_age_ms >= standing.trust_ms:
+    if mark_age_ms >= eligibility.trust_ms:
         return None
-    earlier = [count.members for count in standing.earlier if count.until_ms > now_ms]
-    return Share(max([len(standing.members), *earlier]), standing.since_ms)
+    earlier = [count.members for count in eligibility.earlier if count.until_ms > now_ms]
+    return Share(max([len(eligibility.members), *earlier]), eligibility.since_ms)
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -9,8 +9,8 @@
 from transport.quota_messages import QuotaGiven, QuotaGrant
 
 from quotas import bucket as buckets
-from quotas import standing
-from quotas import terms as quota_terms
+from quotas import grant_shares
+from quotas import settings as quota_settings
 
 __all__ = ["Granting", "TenantBucket", "on_ask"]
 
@@ -29,7 +29,7 @@
     """This depot's bucket for a tenant, by the highest version of the limit it was told.
     `queue_ms`: when the token comes that an ask which found nothing may come back for."""
 
-    limit: quota_terms.Limit
+    limit: quota_settings.Limit
     bucket: buckets.Bucket
     queue_ms: float = 0.0
     given: int = 0
@@ -41,8 +41,8 @@
     """`share`: the part of every budget that the buckets are made for; `looked_ms`: when
     buckets to drop were last looked for."""
 
-    terms: quota_terms.Terms
-    share: standing.Share | None = None
+    settings: quota_settings.Terms
+    share: grant_shares.Share | None = None
     tenants: dict = field(default_factory=dict)
     looked_ms: float = -1e12
 
@@ -62,7 +62,7 @@
         state.tenants.clear()
     state.share = share
     for held in state.tenants.values():
-        part = _part(state.terms, held.limit, share)
+        part = _part(state.settings, held.limit, share)
         held.bucket = buckets.resize(held.bucket, now_ms, *part)
 
 
@@ -94,7 +94,7 @@
 
 def _held(state, now_ms, want, share):
     """The tenant's bucket as it is now; None if there is no room for another one."""
-    told = quota_terms.Limit(want.tenant, want.version, want.ratePerS, want.burst)
+    told = quota_settings.Limit(want.tenant, want.version, want.ratePerS, want.burst)
     held = state.tenants.get(want.tenant)
     if held is None:
         if len(state.tenants) >= _MOST_BUCKETS and not _make_room(state, now_ms):
@@ -102,19 +102,19 @@
         held = state.tenants[want.tenant] = _first(state, now_ms, told, share)
     if told.version > held.limit.version:
         held.limit = told
-    held.bucket = buckets.resize(held.bucket, now_ms, *_part(state.terms, held.limit, share))
+    held.bucket = buckets.resize(held.bucket, now_ms, *_part(state.settings, held.limit, share))
     return held
 
 
 def _first(state, now_ms, limit, share):
-    capacity, rate_per_ms = _part(state.terms, limit, share)
+    capacity, rate_per_ms = _part(state.settings, limit, share)
     empty = buckets.Bucket(0.0, min(now_ms, share.since_ms), capacity, rate_per_ms)
     return TenantBucket(limit, buckets.fill(empty, now_ms))
 
 
-def _part(terms, limit, share):
+def _part(settings, limit, share):
     """This depot's part of a limit: (capacity, rate a ms).  A token fits in any bucket."""
-    capacity = max(1.0, quota_terms.capacity(terms, limit.burst) / share.parts)
+    capacity = max(1.0, quota_settings.capacity(settings, limit.burst) / share.parts)
     return capacity, limit.rate_per_s / 1000 / share.parts
 
 
--- a/libs/quotas/src/quotas/terms.py
+++ b/libs/quotas/src/quotas/settings.py
@@ -34,17 +34,17 @@
     burst: float
 
 
-def lease_ms(terms):
+def lease_ms(settings):
     """How long leased tokens may be spent, counted from before they were asked for."""
-    return max(_SHORTEST_LEASE_MS, terms.overrun * terms.window_ms / 2)
+    return max(_SHORTEST_LEASE_MS, settings.overrun * settings.window_ms / 2)
 
 
-def capacity(terms, burst):
+def capacity(settings, burst):
     """The size of a tenant's bucket, over all depots."""
-    return burst + (terms.overrun * burst + terms.allowance) / 2
+    return burst + (settings.overrun * burst + settings.allowance) / 2
 
 
-def bound(terms, rate_per_s, burst):
+def bound(settings, rate_per_s, burst):
     """The most requests that may be sent and run within one window."""
-    within = rate_per_s * terms.window_ms / 1000 + burst
-    return within * (1 + terms.overrun) + terms.allowance
+    within = rate_per_s * settings.window_ms / 1000 + burst
+    return within * (1 + settings.overrun) + settings.allowance
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -13,7 +13,7 @@
 
 from quotas import demand as demands
 from quotas import depot_choice
-from quotas import terms as quota_terms
+from quotas import settings as quota_settings
 from quotas.spending_state import (
     Asking,
     Decision,
@@ -79,7 +79,7 @@
 
 
 def _lease_end_ms(state, sent):
-    return sent.sent_ms + quota_terms.lease_ms(state.terms)
+    return sent.sent_ms + quota_settings.lease_ms(state.terms)
 
 
 def advance(state, now_ms):
@@ -222,7 +222,7 @@
 
 def _want(state, tenant, now_ms, needed):
     limit = tenant.limit
-    coming = demands.expected(tenant.demand, now_ms, quota_terms.lease_ms(state.terms))
+    coming = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.terms))
     ahead = int(coming) if coming >= _DENSE else 0
     return QuotaWant(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
 
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -7,7 +7,7 @@
 
 from quotas import demand as demands
 from quotas import depot_choice
-from quotas import terms as quota_terms
+from quotas import settings as quota_settings
 
 __all__ = ["Asking", "Decision", "Granted", "Lease", "Pending", "Refused", "SentAsk"]
 __all__ += ["Spending", "TenantLine", "Waiting"]
@@ -80,7 +80,7 @@
     """A tenant at this node.  `asked`: tokens that asks under way are to bring to the line;
     `asked_ms`: when the last one was sent."""
 
-    limit: quota_terms.Limit
+    limit: quota_settings.Limit
     turn: int
     line: deque = field(default_factory=deque)
     leases: list = field(default_factory=list)
@@ -99,7 +99,7 @@
     life of this node is told apart."""
 
     node: str
-    terms: quota_terms.Terms
+    terms: quota_settings.Terms
     number: int = 0
     depots: depot_choice.Depots = field(default_factory=depot_choice.Depots)
     tenants: dict = field(default_factory=dict)
--- a/libs/routing/src/routing/attempts.py
+++ b/libs/routing/src/routing/attempts.py
@@ -3,7 +3,7 @@
 import time
 from dataclasses import replace
 
-from routing.connecting import TIMED_OUT
+from routing.connect_timeout import TIMED_OUT
 
 __all__ = ["broken", "in_time", "left", "proof"]
 
--- a/libs/routing/src/routing/legs.py
+++ b/libs/routing/src/routing/engine_calls.py
@@ -6,7 +6,7 @@
 
 import pycurl
 
-from routing.connecting import TIMED_OUT, ConnectLimit, begun
+from routing.connect_timeout import TIMED_OUT, ConnectLimit, begun
 
 __all__ = ["Ended", "call", "stream"]
 
--- a/libs/routing/src/routing/choice.py
+++ b/libs/routing/src/routing/engine_choice.py
@@ -12,7 +12,7 @@
 
 from transport.rendezvous import weight
 
-from routing import cold
+from routing import cold_engines
 
 __all__ = [
     "Crew",
@@ -74,7 +74,9 @@
     to all counters alike; none for a while after it broke a leg of ours."""
     if now_ms - r.broke_ms.get(engine["name"], -1e12) < r.terms.pauseMs:
         return 0
-    if cold.is_cold(r, now_ms, engine) and not cold.take(r, now_ms, engine, service, crew, True):
+    if cold_engines.is_cold(r, now_ms, engine) and not cold_engines.take(
+        r, now_ms, engine, service, crew, True
+    ):
         return 0
     return max(2, math.ceil(2 * engine["slots"] * _part(rank) / max(1, len(crew.names))))
 
@@ -84,9 +86,9 @@
     if service is not None and "warmPerS" in service:
         return min(
             (
-                cold.ready_in(r, now_ms, e, service, crew)
+                cold_engines.ready_in(r, now_ms, e, service, crew)
                 for e in engines
-                if cold.is_cold(r, now_ms, e)
+                if cold_engines.is_cold(r, now_ms, e)
             ),
             default=r.terms.pauseMs / 2,
         )
@@ -120,8 +122,8 @@
     if not free:
         return None
     best = _liked(r, free, engines, crew, task)
-    if service is not None and "warmPerS" in service and cold.is_cold(r, now_ms, best):
-        cold.take(r, now_ms, best, service, crew)
+    if service is not None and "warmPerS" in service and cold_engines.is_cold(r, now_ms, best):
+        cold_engines.take(r, now_ms, best, service, crew)
     return best
 
 
--- a/libs/routing/src/routing/engine_lives.py
+++ b/libs/routing/src/routing/engine_tracking.py
@@ -10,7 +10,7 @@
 from placement import floor as floors
 from placement import world
 
-from routing import choice, cold
+from routing import cold_engines, engine_choice
 
 __all__ = ["notice"]
 
@@ -22,10 +22,10 @@
     names = _touched(r, floor)
     r.noticed_changes = floor.changes
     for engine in floors.servable(floor, names):
-        choice.notice(r, now_ms, engine["name"], floors.incarnation(floor, engine))
+        engine_choice.notice(r, now_ms, engine["name"], floors.incarnation(floor, engine))
     if names is not None:
         return
-    cold.notice(
+    cold_engines.notice(
         r,
         now_ms,
         floor.registry,
--- a/libs/routing/src/routing/passing.py
+++ b/libs/routing/src/routing/proxying.py
@@ -12,10 +12,10 @@
 
 import pycurl
 
-from routing import answer_ends
-from routing.connecting import TIMED_OUT, ConnectLimit, begun
-from routing.legs import Ended
-from routing.pool import Pipe
+from routing import response_framing
+from routing.connect_timeout import TIMED_OUT, ConnectLimit, begun
+from routing.connection_pool import Pipe
+from routing.engine_calls import Ended
 
 __all__ = ["Head", "stream", "call"]
 
@@ -135,17 +135,17 @@
         added = True
         limit = ConnectLimit(curl, connect_ms)
         head, ended = yield from _transfer(curl, multi, incoming, kept, limit, silent_ms)
-        if ended.code and not answer_ends.delimited(ask.method, head):
+        if ended.code and not response_framing.delimited(ask.method, head):
             ended = Ended(0, b"", True, "no end")
         fd = curl.getinfo(pycurl.LASTSOCKET)
         whole = bool(ended.code) and _sent_whole(curl, ask)
-        keep = base is not None and whole and answer_ends.keeps(head) and fd >= 0
+        keep = base is not None and whole and response_framing.keeps(head) and fd >= 0
         return ended
     finally:
         if added:
             multi.remove_handle(curl)
         if keep:
-            pool.give(base, pipe, fd, answer_ends.keep_s(head))
+            pool.give(base, pipe, fd, response_framing.keep_s(head))
         else:
             pipe.close()
 
--- a/libs/routing/src/routing/refusal_notes.py
+++ b/libs/routing/src/routing/refusal_log.py
@@ -12,7 +12,7 @@
 from placement.placement import item_name
 from transport.effects import Note
 
-from routing import choice
+from routing import engine_choice
 
 __all__ = ["drain", "refused"]
 
@@ -70,7 +70,9 @@
         "has": not item or ledgers.loaded(ledger, name, item),
         "entry": f"{entry['verb']} {entry['state']}" if entry else None,
         "busy": router.busy.get(name, 0),
-        "limit": choice.limit(router, now_ms, engine, crew, task.rank, service) if crew else None,
+        "limit": engine_choice.limit(router, now_ms, engine, crew, task.rank, service)
+        if crew
+        else None,
         "avoidedMs": _ms(task.avoid.get(name, now_ms) - now_ms),
         "brokeMs": _ms(now_ms - router.broke_ms[name]) if name in router.broke_ms else None,
         "coldMs": _ms(router.cold_until_ms.get(name, now_ms) - now_ms),
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -12,8 +12,8 @@
 from transport.ends import hung_up
 from werkzeug.wrappers import Response
 
-from routing import answers, attempts, passing
-from routing.engines import Ask
+from routing import attempts, proxying, responses
+from routing.engine_api import Ask
 from routing.router import Leg, Stay
 
 __all__ = ["Relaying"]
@@ -69,7 +69,7 @@
             if head is not None and not (told["repeatable"] and head.code >= 500):
                 return self._answer(token, told, head, first, source, gone)
             if head is not None:
-                last = answers.response(told, head, [first])
+                last = responses.response(told, head, [first])
             source.close()
             may_have_run = may_have_run or proof not in _NOT_RUN
             step = self._ask(token, "ended", {"proof": proof})
@@ -96,7 +96,7 @@
         )
         silent_ms = max(_LEAST_SILENT_MS, _SILENT * told["aimMs"]) if told["repeatable"] else None
         connect_ms = min(self._connect_ms, max(100.0, 0.4 * told["aimMs"]))
-        return passing.stream(
+        return proxying.stream(
             self._pool, leg.url, ask, leg.timeout_ms, connect_ms, not told["repeatable"], silent_ms
         )
 
@@ -115,7 +115,7 @@
                     return None, b"", "not-run"
                 if judged != "ours":
                     return None, b"", "unknown"
-                if answers.streamed(told, value):
+                if responses.streamed(told, value):
                     return value, b"", "unknown"
                 return self._whole(value, source, gone)
             if kind == "idle" and gone():
@@ -142,18 +142,18 @@
         return None, b"", "unknown"
 
     def _answer(self, token, told, head, first, source, gone):
-        if not answers.streamed(told, head):
+        if not responses.streamed(told, head):
             source.close()
             proof = "failed" if head.code >= _FAILED else "done"
             self._ask(token, "ended", {"proof": proof})
-            return answers.response(told, head, [first])
+            return responses.response(told, head, [first])
 
         def unread():
             source.close()
             self._over(token)
 
         events = self._events(token, told, head, source, gone)
-        return answers.response(told, head, answers.Passing(events, unread))
+        return responses.response(told, head, responses.Passing(events, unread))
 
     def _events(self, token, told, head, source, gone):
         """The stream as it comes; when it breaks, go on elsewhere if that may be."""
@@ -172,7 +172,7 @@
                         if out:
                             yield out
                     elif kind == "idle" and gone():
-                        raise answers.CutOff("caller left")
+                        raise responses.CutOff("caller left")
                     elif kind == "end":
                         ended = value
                 if ended is not None and ended.code:
@@ -185,7 +185,7 @@
                 )
                 if source is None:
                     proof = ""
-                    raise answers.CutOff("stream")
+                    raise responses.CutOff("stream")
                 held.clear()
         finally:
             if source is not None:
--- a/libs/routing/src/routing/router.py
+++ b/libs/routing/src/routing/router.py
@@ -14,15 +14,15 @@
 from transport.effects import Reply
 
 from routing import (
-    choice,
-    engine_lives,
+    engine_choice,
     engine_outcomes,
-    refusal_notes,
+    engine_tracking,
+    refusal_log,
     retry_budget,
     tenants,
-    waiting_line,
+    wait_queue,
 )
-from routing.final_answers import fail, leave_line, spent, unlisted
+from routing.final_responses import fail, leave_line, spent, unlisted
 from routing.tasks import Done, Leg, Router, Stay, Task, Terms
 
 __all__ = [
@@ -86,13 +86,13 @@
     if now_ms >= task.end_ms:
         return fail(r, task, failures.DeadlinePassed(1000, bool(task.legs)))
     if task.sent >= task.tries:
-        refusal_notes.refused(r, now_ms, floor, task, "engines-refused", crew)
+        refusal_log.refused(r, now_ms, floor, task, "engines-refused", crew)
         return fail(r, task, spent(task))
     item = item_name(task.model, task.adapter) if task.model else ""
     found = floors.engines_with(floor, task.service, item)
     found = [e for e in found if task.avoid.get(e["name"], 0.0) <= now_ms]
     service = registries.services(floor.registry).get(task.service)
-    best = choice.choose(r, now_ms, found, crew, task, task.rank, service)
+    best = engine_choice.choose(r, now_ms, found, crew, task, task.rank, service)
     if best is not None:
         r.busy[best["name"]] = r.busy.get(best["name"], 0) + 1
         task.out = best["name"]
@@ -110,16 +110,16 @@
     if found or not item or (task.legs and not task.told):
         if task.waiting:
             if not task.up and not task.short:
-                waiting_line.wait_for_place(task, now_ms)
+                wait_queue.wait_for_place(task, now_ms)
             return []
-        ready_ms = choice.ready_in(r, now_ms, found, crew, task.rank, service)
-        if 0 < ready_ms < task.end_ms - now_ms and not task.legs and waiting_line.is_open(r, task):
+        ready_ms = engine_choice.ready_in(r, now_ms, found, crew, task.rank, service)
+        if 0 < ready_ms < task.end_ms - now_ms and not task.legs and wait_queue.is_open(r, task):
             task.waiting = task.short = True
             task.give_up_ms = min(task.end_ms, now_ms + ready_ms + 2 * r.terms.pauseMs)
             return []
         retryMs = int(max(ready_ms, 1000 * (1 + task.rank)))
         cause = "all-busy" if found else "no-engine"
-        refusal_notes.refused(r, now_ms, floor, task, cause, crew)
+        refusal_log.refused(r, now_ms, floor, task, cause, crew)
         return fail(r, task, failures.Overloaded(retryMs, cause))
     return _line_up(r, now_ms, floor, task)
 
@@ -127,13 +127,13 @@
 def _line_up(r, now_ms, floor, task):
     if task.waiting:
         return []
-    if not waiting_line.is_open(r, task):
+    if not wait_queue.is_open(r, task):
         return fail(r, task, failures.Overloaded(3000 * (1 + task.rank), "line-full"))
     if not any(
         world.usable(floor.registry, e) for e in world.engines_of(floor.registry, task.service)
     ):
         return fail(r, task, failures.NoRoom(3000, task.model, "no-engine"))
-    return [waiting_line.hold(floor, task, now_ms)]
+    return [wait_queue.hold(floor, task, now_ms)]
 
 
 def held(r, now_ms, id_, outcome):
@@ -167,7 +167,7 @@
         if e["name"] != engine
         and task.avoid.get(e["name"], 0.0) <= now_ms
         and r.busy.get(e["name"], 0)
-        < choice.limit(
+        < engine_choice.limit(
             r, now_ms, e, crew, task.rank, registries.services(floor.registry).get(task.service)
         )
     ]
@@ -178,12 +178,12 @@
 
 def wake(r, now_ms, floor, age_ms, crew):
     """The floor changed, or a leg ended: those in line try again, in order."""
-    engine_lives.notice(r, now_ms, floor)
+    engine_tracking.notice(r, now_ms, floor)
     if age_ms > r.terms.staleMs:
         return []
     effects = []
-    for task in waiting_line.in_order(r):
-        told = waiting_line.dropped(floor, task)
+    for task in wait_queue.in_order(r):
+        told = wait_queue.dropped(floor, task)
         if told:
             task.waiting = False
             effects += fail(r, task, failures.NoRoom(told[1], task.model, told[0]))
@@ -199,9 +199,9 @@
     for task in list(r.tasks.values()):
         if task.waiting and now_ms >= task.give_up_ms:
             for_a_place = task.short or task.up
-            if not for_a_place and now_ms < waiting_line.until_it_comes_ms(floor, task):
+            if not for_a_place and now_ms < wait_queue.until_it_comes_ms(floor, task):
                 continue
-            refusal_notes.refused(r, now_ms, floor, task, "waited for a place or a model")
+            refusal_log.refused(r, now_ms, floor, task, "waited for a place or a model")
             effects += fail(
                 r,
                 task,
@@ -231,7 +231,7 @@
             r.heard_ms[engine] = now_ms
         lately = slow and now_ms - r.heard_ms.get(engine, -1e12) < 2 * r.terms.pauseMs
         if proof in ("no-pipe", "unknown") and not lately:
-            choice.broke(r, now_ms, engine)
+            engine_choice.broke(r, now_ms, engine)
     if proof in _OVER:
         r.tasks.pop(token, None)
         r.served += proof == "done"
--- a/libs/routing/src/routing/serving.py
+++ b/libs/routing/src/routing/serving.py
@@ -8,7 +8,7 @@
 from transport import failures
 from transport.ends import hung_up
 
-from routing import callers, engines, legs, pieces
+from routing import caller_api, engine_api, engine_calls, pieces
 from routing.router import Leg
 
 __all__ = ["Serving"]
@@ -48,31 +48,35 @@
 
     def _whole(self, told, leg):
         """Run a leg for a whole answer: (response or None, proof)."""
-        ended = legs.call(engines.task_ask(leg.url, told), leg.timeout_ms, self._connect_ms)
+        ended = engine_calls.call(
+            engine_api.task_ask(leg.url, told), leg.timeout_ms, self._connect_ms
+        )
         if ended.code == 200:
-            body = engines.read_answer(told, ended.data)
+            body = engine_api.read_answer(told, ended.data)
             if body is not None:
-                return callers.answer(body), "done"
+                return caller_api.answer(body), "done"
             return None, "unknown"
         if ended.code == 0:
             return None, "unknown" if ended.begun else "no-pipe"
-        if engines.refused(ended.code, ended.data):
+        if engine_api.refused(ended.code, ended.data):
             return None, "not-run"
         if told["repeatable"]:
             return None, "unknown"
-        return callers.refusal(failures.EngineFailed(leg.engine, ended.code)), "done"
+        return caller_api.refusal(failures.EngineFailed(leg.engine, ended.code)), "done"
 
     def _stream(self, token, told, leg, gone):
         """Find a leg whose first piece is good, then pass its pieces on."""
         may_have_run = False
         while isinstance(leg, Leg):
-            source = legs.stream(engines.task_ask(leg.url, told), leg.timeout_ms, self._connect_ms)
+            source = engine_calls.stream(
+                engine_api.task_ask(leg.url, told), leg.timeout_ms, self._connect_ms
+            )
             run = pieces.Run(told["id"])
             passing = _pieces(source, run, gone)
             passed, proof = next(passing)
             if passed is not None:
                 chunks = self._pass_on(token, run, passed, passing, source, gone)
-                return callers.stream_response(chunks)
+                return caller_api.stream_response(chunks)
             source.close()
             may_have_run = may_have_run or proof not in _NOT_RUN
             leg = self._ask(token, "ended", {"proof": "unknown" if proof == "broken" else proof})
@@ -82,10 +86,10 @@
         proof = "gone"
         try:
             while True:
-                yield callers.event("piece", passed.piece, passed.piece["n"])
+                yield caller_api.event("piece", passed.piece, passed.piece["n"])
                 if passed.last:
                     proof = "done"
-                    yield callers.event("done", {"pieces": run.next})
+                    yield caller_api.event("done", {"pieces": run.next})
                     return
                 passed, proof = next(passing)
                 while passed is None and proof == "broken" and run.resumes:
@@ -98,7 +102,7 @@
                 if passed is None:
                     break
             failure = failures.StreamCut(proof, run.next)
-            yield callers.event("failure", failures.as_json(failure))
+            yield caller_api.event("failure", failures.as_json(failure))
             raise _CutOff(failure)
         finally:
             if source is not None:
@@ -110,14 +114,16 @@
         leg = self._ask(token, "resume", {"incarnation": run.incarnation})
         if not isinstance(leg, Leg):
             return None
-        return legs.stream(engines.resume_ask(leg.url, run), leg.timeout_ms, self._connect_ms)
+        return engine_calls.stream(
+            engine_api.resume_ask(leg.url, run), leg.timeout_ms, self._connect_ms
+        )
 
 
 def _refusal(step, may_have_run):
     """Our own final answer; a promise only if no leg may have run."""
     if not isinstance(step, failures.Failure):
         step = failures.OutcomeUnknown("caller-left")
-    return callers.refusal(failures.once_begun(step) if may_have_run else step)
+    return caller_api.refusal(failures.once_begun(step) if may_have_run else step)
 
 
 class _CutOff(ConnectionError):
@@ -131,7 +137,7 @@
         if kind == "head":
             code = value
         elif kind == "data" and code == 200:
-            for piece in engines.read_pieces(buffer, value):
+            for piece in engine_api.read_pieces(buffer, value):
                 judged = pieces.take(run, piece)
                 if isinstance(judged, pieces.Pass):
                     yield judged, ""
@@ -152,7 +158,7 @@
     """As for a whole answer; "broken" where the pipe is all that failed."""
     if ended.code == 0:
         return "broken" if ended.begun else "no-pipe"
-    return "not-run" if engines.refused(ended.code, refusal) else "unknown"
+    return "not-run" if engine_api.refused(ended.code, refusal) else "unknown"
 
 
 def _gone_check(environ):
--- a/libs/simulation/src/simulation/fleet.py
+++ b/libs/simulation/src/simulation/fleet.py
@@ -13,8 +13,8 @@
 import sys
 from pathlib import Path
 
-from routing import legs
-from routing.engines import Ask, read_json
+from routing import engine_calls
+from routing.engine_api import Ask, read_json
 
 from simulation import deployments
 from simulation.polling import poll_until
@@ -191,7 +191,7 @@
             f"127.0.0.1:{self.engine_port[name]}" if name in self.engine_port else self.http[name]
         )
         data = json.dumps(body).encode() if body is not None else b""
-        ended = legs.call(
+        ended = engine_calls.call(
             Ask(method, f"http://{host}{path}", data), timeout_ms, headers=list(headers)
         )
         return ended.code, (read_json(ended.data) if ended.data else None) or {}
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -10,8 +10,8 @@
 
 from placement import demand, placer
 from pulleyhitch import shard_ownership
-from routing import choice, passing, pool
-from routing.engines import Ask
+from routing import connection_pool, engine_choice, proxying
+from routing.engine_api import Ask
 from transport import failures
 from transport.effects import Reply
 
@@ -24,36 +24,36 @@
 
 def _short_body():
     """The last byte of each body is not handed on."""
-    kept = passing._prepare
+    kept = proxying._prepare
 
     def prepare(curl, ask, *more):
         kept(curl, replace(ask, body=ask.body[:-1]), *more)
 
-    passing._prepare = prepare
-    passing._sent_whole = lambda curl, ask: True
+    proxying._prepare = prepare
+    proxying._sent_whole = lambda curl, ask: True
 
 
 def _sent_again():
     """Every request is sent once more by itself, and the second answer is passed on."""
-    kept = passing._exchange
+    kept = proxying._exchange
 
     def exchange(pool_, base, pipe, known, ask, *more):
-        for _ in kept(None, None, pool.Pipe(), False, ask, *more):
+        for _ in kept(None, None, connection_pool.Pipe(), False, ask, *more):
             pass
         return (yield from kept(pool_, base, pipe, known, ask, *more))
 
-    passing._exchange = exchange
+    proxying._exchange = exchange
 
 
 def _stale_headers():
     """A handle that is used again keeps the fields of its first request."""
-    kept, first = passing._prepare, {}
+    kept, first = proxying._prepare, {}
 
     def prepare(curl, ask, *more):
         headers = first.setdefault(id(curl), ask.headers)
         kept(curl, Ask(ask.method, ask.url, ask.body, headers), *more)
 
-    passing._prepare = prepare
+    proxying._prepare = prepare
 
 
 def _smuggling():
@@ -127,14 +127,14 @@
 
 def _tied_subject():
     """Requests of some subjects go to an engine that isn't there, for ever."""
-    kept = choice.choose
+    kept = engine_choice.choose
 
     def choose(r, now_ms, engines, crew, task, *more):
         best = kept(r, now_ms, engines, crew, task, *more)
         tied = best is not None and task.opening in _TIED_SUBJECTS
         return {**best, "url": _NOBODY} if tied else best
 
-    choice.choose = choose
+    engine_choice.choose = choose
 
 
 MUTANTS = {
--- a/libs/simulation/src/simulation/mutants_of_requests.py
+++ b/libs/simulation/src/simulation/mutants_of_requests.py
@@ -1,7 +1,7 @@
 """Mutants of routing: requests, answers, retries, warming up and final answers."""
 
 from placement import line
-from routing import choice, pieces, retry_budget, router
+from routing import engine_choice, pieces, retry_budget, router
 from transport import failures
 
 from simulation import breaking
@@ -41,7 +41,7 @@
         "every counter its own ramp",
         "no-flood",
         restarted,
-        lambda: [(choice, "limit", breaking.own_floor)],
+        lambda: [(engine_choice, "limit", breaking.own_floor)],
         seeds=(3,),
         size="zatacka",
     ),
@@ -49,7 +49,7 @@
         "no ramp",
         "no-flood",
         lambda d: restarted(d) + plain_crowd(d),
-        lambda: [(choice, "limit", lambda *a: 1000)],
+        lambda: [(engine_choice, "limit", lambda *a: 1000)],
     ),
     Mutant(
         "no retry budget",
--- a/libs/simulation/src/simulation/platform_fleet.py
+++ b/libs/simulation/src/simulation/platform_fleet.py
@@ -10,8 +10,8 @@
 import sys
 from pathlib import Path
 
-from routing import legs
-from routing.engines import Ask, read_json
+from routing import engine_calls
+from routing.engine_api import Ask, read_json
 
 from simulation import platform_engine as core
 from simulation.platform_made import word
@@ -208,7 +208,7 @@
             if body is None
             else (json.dumps(body).encode())
         )
-        ended = legs.call(
+        ended = engine_calls.call(
             Ask(method, f"http://{self.address(name, what)}{path}", data),
             8000,
             headers=list(headers),
--- a/tests/quota_records.py
+++ b/tests/quota_records.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from quotas.terms import Limit, Terms, bound
+from quotas.settings import Limit, Terms, bound
 
 TERMS = Terms(5000.0, 0.1, 20.0, 6000.0, 120.0)
 # How long a change of a limit may take until all nodes follow it.
@@ -33,30 +33,30 @@
         from_ms, to_ms, times = self.hot
         return self.load * (times if from_ms <= now_ms < to_ms else 1.0)
 
-    def bound(self, start_ms, terms):
+    def bound(self, start_ms, settings):
         """The loosest bound that a window from `start_ms` may be held to."""
-        first_ms = start_ms - terms.window_ms - SETTLED_MS
+        first_ms = start_ms - settings.window_ms - SETTLED_MS
         kept = [self.limit(max(0.0, first_ms))]
-        kept += [x for at_ms, x in self.limits if first_ms < at_ms <= start_ms + terms.window_ms]
-        return max(bound(terms, x.rate_per_s, x.burst) for x in kept)
+        kept += [x for at_ms, x in self.limits if first_ms < at_ms <= start_ms + settings.window_ms]
+        return max(bound(settings, x.rate_per_s, x.burst) for x in kept)
 
 
 def tenant(name, rate, burst, load, hot=(0.0, 0.0, 1.0)):
     return Tenant([(0.0, Limit(name, 1, rate, burst))], load, hot)
 
 
-def worst_window(runs, tenant, terms):
+def worst_window(runs, tenant, settings):
     """(requests over the bound, requests, the bound) of the worst window: the plain count
     of those that were both sent and run in it, for each window that begins with one."""
     runs = sorted(runs, key=lambda r: r.sent_ms)
     found = (-1e9, 0, 0.0)
     for first, request in enumerate(runs):
-        end_ms = request.sent_ms + terms.window_ms
+        end_ms = request.sent_ms + settings.window_ms
         count = 0
         for other in runs[first:]:
             if other.sent_ms > end_ms:
                 break
             count += other.ended_ms <= end_ms
-        allowed = tenant.bound(request.sent_ms, terms)
+        allowed = tenant.bound(request.sent_ms, settings)
         found = max(found, (count - allowed, count, allowed))
     return found
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from quota_records import TERMS, Request, worst_window
-from quotas import granting, spending, standing
+from quotas import grant_shares, granting, spending
 
 TICK_MS = 50.0
 MARK_EVERY_MS = 300.0
@@ -31,7 +31,7 @@
 @dataclass
 class Depot:
     identity: str
-    standing: standing.Standing
+    standing: grant_shares.Standing
     granting: granting.Granting
     members: frozenset = frozenset()
     mark_ms: float = -1e12
@@ -174,14 +174,14 @@
             spending.on_grant(node.spending, self.now_ms, sender, message)
             return self._advance(to)
         self._observe(node)
-        share = standing.share(node.standing, self.now_ms, self.now_ms - node.mark_ms)
+        share = grant_shares.share(node.standing, self.now_ms, self.now_ms - node.mark_ms)
         self._send(to, sender, granting.on_ask(node.granting, self.now_ms, message, share))
 
     # --- depots and their group
 
     def _begin_depot(self, name, restarted=False):
         life = self.depots[name].life + 1 if name in self.depots else 0
-        stands = standing.Standing(name, self.terms.trust_ms, self.depots_wanted, restarted)
+        stands = grant_shares.Standing(name, self.terms.trust_ms, self.depots_wanted, restarted)
         self.depots[name] = Depot(name, stands, granting.Granting(self.terms), life=life)
         self.after(self.random.uniform(0, MARK_EVERY_MS), self._mark, name, life)
 
@@ -209,7 +209,7 @@
         self._observe(depot)
 
     def _observe(self, depot):
-        standing.observe(depot.standing, self.now_ms, depot.members, self.founders)
+        grant_shares.observe(depot.standing, self.now_ms, depot.members, self.founders)
 
     def set_members(self, *names):
         """A membership is committed; newcomers begin, and counters learn of it in a while."""
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -10,7 +10,7 @@
 from placement import world
 from pulleyhitch import passages
 from replication import follower
-from routing import choice, router
+from routing import engine_choice, router
 from routing.tasks import Leg
 from simulation.placing import SHARDS, engine_facts
 from transport import failures
@@ -18,7 +18,7 @@
 
 NOW_MS = 50_000.0
 BOUND_MS = 2500
-CREW = choice.Crew("c0", ("c0",), "z")
+CREW = engine_choice.Crew("c0", ("c0",), "z")
 ENGINES = 9
 TRIES = 3
 ROUTE_RANK = 5
--- a/tests/test_after_a_freeze.py
+++ b/tests/test_after_a_freeze.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from routing.legs import Ended
+from routing.engine_calls import Ended
 from test_platform_relaying import PLAIN, STREAM, WHOLE, Relayed, data, event, head
 from testtools.matchers import Equals
 
--- a/tests/test_answer_identity.py
+++ b/tests/test_answer_identity.py
@@ -6,11 +6,10 @@
 import threading
 
 from adapter.dialect import DIALECT
-from routing import legs, passing
-from routing import pool as passing_pool
-from routing.engines import Ask
-from routing.passing import Head
-from routing.pool import Pool
+from routing import connection_pool, engine_calls, proxying
+from routing.connection_pool import Pool
+from routing.engine_api import Ask
+from routing.proxying import Head
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -89,7 +88,7 @@
     def ask(self, engine, pool=None, method="GET", body=b"", headers=(), fresh=False, target="/x"):
         """(head, data, how it ended)"""
         events = list(
-            passing.stream(
+            proxying.stream(
                 pool or Pool(),
                 engine.url,
                 Ask(method, engine.url + target, body, headers),
@@ -128,7 +127,7 @@
     def test_nor_for_our_own_callers(self):
         for end in ("close", "reset"):
             engine = self.engine(["read", end], ["read", answer(b"again")])
-            ended = legs.call(Ask("POST", engine.url + "/task", b"q"), WAIT_S * 1000)
+            ended = engine_calls.call(Ask("POST", engine.url + "/task", b"q"), WAIT_S * 1000)
             self.assertThat((ended.code, ended.begun), Equals((0, True)))
             self.assertThat((engine.connections, len(engine.requests)), Equals((1, 1)))
 
@@ -144,7 +143,7 @@
         pool = Pool()
         self.ask(engine, pool)
         self.assertTrue(engine.ended.wait(WAIT_S))
-        self.patch(passing_pool, "_silent", lambda fd: True)
+        self.patch(connection_pool, "_silent", lambda fd: True)
         self.assertThat(self.ask(engine, pool)[1], Equals(b"two"))
         self.assertThat((engine.connections, len(engine.requests)), Equals((2, 2)))
 
@@ -199,7 +198,7 @@
         )
         ask = Ask("GET", engine.url + "/", b"")
         heads = []
-        for kind, value in passing.stream(Pool(), engine.url, ask, WAIT_S * 1000, 5000, False):
+        for kind, value in proxying.stream(Pool(), engine.url, ask, WAIT_S * 1000, 5000, False):
             if kind == "head":
                 heads.append(value.get("b"))
             idle += kind == "idle" and sent.is_set()
@@ -264,21 +263,21 @@
         pool = Pool()
         self.ask(engine, pool)
         for method, body in (("POST", b"{}"), ("GET", b"")):
-            ended = passing.call(pool, Ask(method, engine.url + "/o", body), WAIT_S * 1000)
+            ended = proxying.call(pool, Ask(method, engine.url + "/o", body), WAIT_S * 1000)
             self.assertThat(ended.data, Equals(b"order" if body else b"report"))
         self.assertThat(engine.connections, Equals(3))
 
     def test_orders_to_one_engine_share_a_connection(self):
         engine = self.engine(["read", answer(b"one"), "read", answer(b"two")])
         pool, order = Pool(), Ask("POST", engine.url + "/o", b"{}")
-        found = [passing.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
+        found = [proxying.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
         self.assertThat((found, engine.connections), Equals(([b"one", b"two"], 1)))
 
     def test_an_order_takes_no_connection_that_still_speaks(self):
         """An answer too many, there before the next order, ends the connection."""
         engine = self.engine(["read", answer(b"one") + answer(b"stray")], ["read", answer(b"two")])
         pool, order = Pool(), Ask("POST", engine.url + "/o", b"{}")
-        found = [passing.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
+        found = [proxying.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
         self.assertThat((found, engine.connections), Equals(([b"one", b"two"], 2)))
 
     def test_an_order_takes_no_connection_of_reports(self):
@@ -286,8 +285,8 @@
             ["read", answer(b"report"), "read", answer(b"stray")], ["read", answer(b"order")]
         )
         pool = Pool()
-        passing.call(pool, Ask("GET", engine.url + "/r", b""), WAIT_S * 1000)
-        ended = passing.call(pool, Ask("POST", engine.url + "/o", b"{}"), WAIT_S * 1000)
+        proxying.call(pool, Ask("GET", engine.url + "/r", b""), WAIT_S * 1000)
+        ended = proxying.call(pool, Ask("POST", engine.url + "/o", b"{}"), WAIT_S * 1000)
         self.assertThat((ended.data, engine.connections), Equals((b"order", 2)))
 
     def test_not_after_any_word_of_closing(self):
--- a/tests/test_platform_cold.py
+++ b/tests/test_platform_cold.py
@@ -3,7 +3,7 @@
 import random
 
 from configuration.registry import Registry
-from routing import choice, cold
+from routing import cold_engines, engine_choice
 from routing.router import Router, Terms
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -25,12 +25,14 @@
     service = {"warmPerS": per_s, "warmMs": 60000.0}
     sent_ms = []
     for name in names:
-        r, crew, now_ms = Router(TERMS), choice.Crew(name, names), 10 * rng.random()
-        cold.notice(r, now_ms, Registry(engines={"e0": ENGINE}), {"s": service}, lambda e: True)
+        r, crew, now_ms = Router(TERMS), engine_choice.Crew(name, names), 10 * rng.random()
+        cold_engines.notice(
+            r, now_ms, Registry(engines={"e0": ENGINE}), {"s": service}, lambda e: True
+        )
         while now_ms < span_ms:
-            if cold.take(r, now_ms, ENGINE, service, crew):
+            if cold_engines.take(r, now_ms, ENGINE, service, crew):
                 sent_ms.append(now_ms)
-            now_ms += cold.ready_in(r, now_ms, ENGINE, service, crew) + 0.001
+            now_ms += cold_engines.ready_in(r, now_ms, ENGINE, service, crew) + 0.001
     return sorted(sent_ms)
 
 
@@ -66,8 +68,8 @@
         open_ = [True]
 
         def cold_at(now_ms):
-            cold.notice(r, now_ms, registry, services, lambda e: open_[0])
-            return cold.is_cold(r, now_ms, ENGINE)
+            cold_engines.notice(r, now_ms, registry, services, lambda e: open_[0])
+            return cold_engines.is_cold(r, now_ms, ENGINE)
 
         self.assertThat([cold_at(ms) for ms in (0.0, 2900.0, 3200.0)], Equals([True, True, False]))
         open_[0] = False
--- a/tests/test_platform_pool.py
+++ b/tests/test_platform_pool.py
@@ -3,10 +3,10 @@
 import socket
 import threading
 
-from routing import answer_ends, passing, pool
-from routing.engines import Ask
-from routing.passing import Head
-from routing.pool import Pool
+from routing import connection_pool, proxying, response_framing
+from routing.connection_pool import Pool
+from routing.engine_api import Ask
+from routing.proxying import Head
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -23,7 +23,7 @@
     def setUp(self):
         super().setUp()
         self.clock = Clock()
-        self.patch(pool, "time", self.clock)
+        self.patch(connection_pool, "time", self.clock)
         self.pool = Pool()
         self.ours, self.theirs = socket.socketpair()
         for sock in (self.ours, self.theirs):
@@ -88,7 +88,7 @@
     def test_connections_of_engines_that_have_gone_are_closed(self):
         """Nobody asks for their addresses any more, and others are given back."""
         closed = []
-        self.patch(pool.Pipe, "close", lambda pipe: closed.append(pipe))
+        self.patch(connection_pool.Pipe, "close", lambda pipe: closed.append(pipe))
         gone = self.give(1)
         self.clock.now_s += 6.0
         other, _ = self.pool.take("http://f", True)
@@ -110,7 +110,7 @@
             ("timeout=" + "9" * 5000, 999999999),
         ):
             head = Head(200, "", (("Keep-Alive", value),) if value else ())
-            self.assertThat(answer_ends.keep_s(head), Equals(seconds), value[:20])
+            self.assertThat(response_framing.keep_s(head), Equals(seconds), value[:20])
 
 
 class Engine:
@@ -160,7 +160,7 @@
 
 class Served(TestCase):
     def get(self, engine, kept, fresh=False):
-        source = passing.stream(
+        source = proxying.stream(
             kept, engine.url, Ask("GET", engine.url + "/a/../b?x", b""), 10000, 5000, fresh
         )
         events = list(source)
--- a/tests/test_platform_readers.py
+++ b/tests/test_platform_readers.py
@@ -9,7 +9,7 @@
 from placement import engine_reports, roster
 from placement import state as dispatching
 from replication.shard_log import ShardLog
-from routing.passing import Head
+from routing.proxying import Head
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 from transport import failures
--- a/tests/test_platform_relaying.py
+++ b/tests/test_platform_relaying.py
@@ -3,9 +3,9 @@
 import time
 
 from adapter.dialect import DIALECT
-from routing import passing
-from routing.legs import Ended
-from routing.passing import Head
+from routing import proxying
+from routing.engine_calls import Ended
+from routing.proxying import Head
 from routing.relaying import Relaying
 from routing.router import Leg
 from routing.tasks import Done, Stay
@@ -61,7 +61,7 @@
             self.proofs.append(body["proof"])
             return Done() if body["proof"] in ("done", "gone", "cut") else next_leg()
 
-        self.patch(passing, "stream", stream)
+        self.patch(proxying, "stream", stream)
         self.told = {
             "id": "t1",
             "method": "POST",
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from pulleyhitch import config
-from routing import callers
+from routing import caller_api
 from simulation import deployments
 from simulation.fleet import Fleet
 from testtools import TestCase
@@ -82,7 +82,7 @@
 class CallersIds(TestCase):
     def test_two_callers_with_one_id_are_two_tasks(self):
         body = {"service": "s", "prompt": "p", "id": "mine"}
-        first, second = (callers.read_task(dict(body), None, 1000)["id"] for _ in range(2))
+        first, second = (caller_api.read_task(dict(body), None, 1000)["id"] for _ in range(2))
         self.assertNotEqual(first, second)
         self.assertTrue(first.startswith("mine.") and second.startswith("mine."))
 
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -8,8 +8,8 @@
 from quota_records import TERMS, tenant
 from quota_world import World
 from quotas import bucket as buckets
-from quotas import depot_choice, granting, spending, standing
-from quotas.terms import Limit
+from quotas import depot_choice, grant_shares, granting, spending
+from quotas.settings import Limit
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 from transport.quota_messages import QuotaAsk, QuotaGiven, QuotaGrant, QuotaWant
@@ -62,7 +62,7 @@
         spending.take(state, 0.0, tenant("a", 5, 5, 1).limit(0.0), "gone")
         _, asks = spending.advance(state, 0.0)
         spending.forget(state, "gone")
-        share = standing.Share(1, -1e12)
+        share = grant_shares.Share(1, -1e12)
         grant = granting.on_ask(granting.Granting(TERMS), 1.0, asks[0].ask, share)
         spending.on_grant(state, 2.0, "only", grant)
         self.assertThat(spending.advance(state, 2.0), Equals(([], [])))
@@ -71,7 +71,7 @@
 
     # SHORT: with thousands of tenants, new ones were refused and each ask took a long look.
     def test_thousands_of_tenants_are_granted_their_first_requests(self):
-        state, share = granting.Granting(TERMS), standing.Share(5, -1e12)
+        state, share = granting.Granting(TERMS), grant_shares.Share(5, -1e12)
         for number in range(6000):
             want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
             grant = granting.on_ask(state, float(number), QuotaAsk(1, (want,)), share)
@@ -81,7 +81,7 @@
         self.patch(granting, "_MOST_BUCKETS", 10)
         looks, true_drop = [], granting._drop_full
         self.patch(granting, "_drop_full", lambda *facts: looks.append(1) or true_drop(*facts))
-        state, share = granting.Granting(TERMS), standing.Share(5, -1e12)
+        state, share = granting.Granting(TERMS), grant_shares.Share(5, -1e12)
         for number in range(300):
             want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
             granting.on_ask(state, 10.0 * number, QuotaAsk(1, (want,)), share)
@@ -104,7 +104,7 @@
 
     def test_full_buckets_are_dropped_when_there_are_too_many(self):
         self.patch(granting, "_MOST_BUCKETS", 10)
-        state, share = granting.Granting(TERMS), standing.Share(1, -1e12)
+        state, share = granting.Granting(TERMS), grant_shares.Share(1, -1e12)
         rng, given = random.Random(1), []
         for number in range(200):
             want = spending.QuotaWant(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
@@ -113,10 +113,10 @@
             self.assertThat(len(state.tenants), LessThan(11))
         for name in {name for name, _ in given}:
             total = sum(count for other, count in given if other == name)
-            self.assertThat(total, LessThan(granting.quota_terms.capacity(TERMS, 1.0) + 4 + 1))
+            self.assertThat(total, LessThan(granting.quota_settings.capacity(TERMS, 1.0) + 4 + 1))
 
     def test_the_highest_version_of_a_limit_counts(self):
-        state, share = granting.Granting(TERMS), standing.Share(2, -1e12)
+        state, share = granting.Granting(TERMS), grant_shares.Share(2, -1e12)
 
         def ask(now_ms, version, rate, burst):
             want = spending.QuotaWant("a", version, rate, burst, 1, 0)
@@ -131,11 +131,13 @@
     # QUOTA: a founder that was removed, restarted and was taken back granted at once.
     def test_a_founder_that_is_taken_back_waits_as_a_newcomer_does(self):
         founders = {f"d{number}" for number in range(5)}
-        stands = standing.Standing("d0", 1000.0, 5, restarted=True)
-        standing.observe(stands, 0.0, founders - {"d0"}, founders)
-        standing.observe(stands, 10.0, founders, founders)
-        self.assertThat(standing.share(stands, 1009.0, 0.0), Equals(None))
-        self.assertThat(standing.share(stands, 1010.0, 0.0), Equals(standing.Share(5, 1010.0)))
+        stands = grant_shares.Standing("d0", 1000.0, 5, restarted=True)
+        grant_shares.observe(stands, 0.0, founders - {"d0"}, founders)
+        grant_shares.observe(stands, 10.0, founders, founders)
+        self.assertThat(grant_shares.share(stands, 1009.0, 0.0), Equals(None))
+        self.assertThat(
+            grant_shares.share(stands, 1010.0, 0.0), Equals(grant_shares.Share(5, 1010.0))
+        )
 
     def test_parts_never_make_up_more_than_the_whole(self):
         """Any order in which depots hear of any one-by-one changes, against a plain sum."""
@@ -158,7 +160,7 @@
             members.add(f"n{number}")
         changes.append((at_ms, frozenset(members)))
     stands = {
-        name: standing.Standing(name, trust_ms, size)
+        name: grant_shares.Standing(name, trust_ms, size)
         for name in set().union(*(m for _, m in changes))
     }
     events, marks = [], dict.fromkeys(stands, -1e12)
@@ -171,9 +173,9 @@
     while events:
         now_ms, name, sent_ms = heapq.heappop(events)
         while seen[name] < len(changes) and changes[seen[name]][0] <= sent_ms:
-            standing.observe(stands[name], now_ms, changes[seen[name]][1], names)
+            grant_shares.observe(stands[name], now_ms, changes[seen[name]][1], names)
             seen[name] += 1
         marks[name] = max(marks[name], sent_ms)
-        shares = [standing.share(s, now_ms, now_ms - marks[n]) for n, s in stands.items()]
+        shares = [grant_shares.share(s, now_ms, now_ms - marks[n]) for n, s in stands.items()]
         worst = max(worst, sum(1 / share.parts for share in shares if share))
     return worst
--- a/tests/test_quota_mutants.py
+++ b/tests/test_quota_mutants.py
@@ -4,7 +4,7 @@
 from quota_records import tenant
 from quota_world import World
 from quotas import bucket as buckets
-from quotas import granting, spending, standing
+from quotas import grant_shares, granting, spending
 from testtools import TestCase
 from testtools.matchers import GreaterThan, LessThan
 
@@ -43,23 +43,23 @@
 
     # QUOTA: a depot that restarted gave out its bucket again.
     def test_a_bucket_that_is_full_after_a_restart(self):
-        self.check(restarts, (standing, "_since_ms", lambda *facts: -1e12))
+        self.check(restarts, (grant_shares, "_since_ms", lambda *facts: -1e12))
 
     # QUOTA: a successor granted beside the depot that was removed without knowing.
     def test_a_newcomer_that_does_not_wait(self):
-        self.check(replaced, (standing, "_since_ms", lambda stands, now_ms, founders: now_ms))
+        self.check(replaced, (grant_shares, "_since_ms", lambda stands, now_ms, founders: now_ms))
 
     # QUOTA: a depot that was removed without knowing granted for ever.
     def test_a_depot_that_grants_without_marks(self):
         def always(stands, now_ms, mark_age_ms):
             return true_share(stands, now_ms, 0.0)
 
-        true_share = standing.share
-        self.check(replaced, (standing, "share", always))
+        true_share = grant_shares.share
+        self.check(replaced, (grant_shares, "share", always))
 
     # QUOTA: fewer members took larger parts while one that was removed held its own.
     def test_a_part_that_grows_as_soon_as_the_group_is_smaller(self):
-        self.check(shrunk, (standing, "_counted", lambda stands, after: len(after)))
+        self.check(shrunk, (grant_shares, "_counted", lambda stands, after: len(after)))
 
     # QUOTA: a limit that was raised filled the bucket.
     def test_a_raised_limit_that_fills_the_bucket(self):
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -6,7 +6,7 @@
 from adapter import callers
 from pulleyhitch import quota_requests
 from quota_records import Request, Tenant, worst_window
-from quotas.terms import Limit
+from quotas.settings import Limit
 from routing import router
 from simulation import deployments
 from simulation.placing import engine_facts
--- a/tests/test_refusal_notes.py
+++ b/tests/test_refusal_notes.py
@@ -5,7 +5,7 @@
 from adapter import configuration
 from configuration import registry as registries
 from placement import floor, ledger, world
-from routing import choice, refusal_notes, router
+from routing import engine_choice, refusal_log, router
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
 from testtools import TestCase
@@ -21,7 +21,7 @@
     leg_ms=20000.0,
     retryAllowance=50.0,
 )
-CREW = choice.Crew("c0", ("c0", "c1", "c2"), "z")
+CREW = engine_choice.Crew("c0", ("c0", "c1", "c2"), "z")
 DEADLINE_MS = 20000.0
 
 
@@ -87,7 +87,7 @@
         return outcomes
 
     def noted(self):
-        return [note.facts for note in refusal_notes.drain(self.router)]
+        return [note.facts for note in refusal_log.drain(self.router)]
 
 
 class Refused(Scene):
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 import random
 
 from routing import retry_budget
-from routing.choice import Crew
+from routing.engine_choice import Crew
 from routing.router import Router, Terms
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
--- a/tests/test_slow_connecting.py
+++ b/tests/test_slow_connecting.py
@@ -7,9 +7,9 @@
 import socket
 import time
 
-from routing import legs, passing
-from routing.engines import Ask
-from routing.pool import Pool
+from routing import engine_calls, proxying
+from routing.connection_pool import Pool
+from routing.engine_api import Ask
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
@@ -51,8 +51,8 @@
 
     def sources(self):
         ask = Ask("GET", self.url + "/a", b"")
-        yield passing.stream(Pool(), self.url, ask, TIMEOUT_MS, CONNECT_MS, True)
-        yield legs.stream(ask, TIMEOUT_MS, CONNECT_MS)
+        yield proxying.stream(Pool(), self.url, ask, TIMEOUT_MS, CONNECT_MS, True)
+        yield engine_calls.stream(ask, TIMEOUT_MS, CONNECT_MS)
 
     def end(self, source):
         """The last event; the answer is given once the request has been sent."""
@@ -84,7 +84,7 @@
         self.full()
         ask = Ask("GET", self.url + "/a", b"")
         for ended in (
-            legs.call(ask, TIMEOUT_MS, CONNECT_MS),
-            passing.call(Pool(), ask, 4 * CONNECT_MS),
+            engine_calls.call(ask, TIMEOUT_MS, CONNECT_MS),
+            proxying.call(Pool(), ask, 4 * CONNECT_MS),
         ):
             self.assertThat((ended.code, ended.begun), Equals((0, False)))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from routing import pool as pools
+from routing import connection_pool as pools
 from simulation.soak import checks
 from simulation.soak.checks import Use
 from simulation.soak.kept_callers import Broken, read_one
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -8,8 +8,8 @@
 from placement.floor import Floor as RoutingFloor
 from placement.floor import engines_with
 from placement.state import log
-from routing import choice, engine_outcomes, router
-from routing.legs import Ended
+from routing import engine_choice, engine_outcomes, router
+from routing.engine_calls import Ended
 from routing.tasks import Leg
 from simulation.placing import SHARDS, TERMS
 from test_platform_asked import Floor
@@ -17,7 +17,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-CREW = choice.Crew("c0", ("c0",), "z")
+CREW = engine_choice.Crew("c0", ("c0",), "z")
 ROUTING = router.Terms(1e12, 1000.0, 100.0, 0.1, 10_000.0, 1000.0)
 TICK_MS = 40.0
 TELL_MS = 600.0
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -14,9 +14,9 @@
 from placement import floor
 from process_harness import lone_counter
 from pulleyhitch import config, server
-from routing import answers, choice, passing, router
-from routing.legs import Ended
-from routing.passing import Head
+from routing import engine_choice, proxying, responses, router
+from routing.engine_calls import Ended
+from routing.proxying import Head
 from routing.relaying import Relaying
 from routing.router import Leg
 from routing.tasks import Done
@@ -30,7 +30,7 @@
 from werkzeug.wrappers import Request
 
 OWN = (("X-Try-Id", "t1"), ("X-Postmark", "p"))
-CREW = choice.Crew("c0", ("c0",), "z")
+CREW = engine_choice.Crew("c0", ("c0",), "z")
 
 
 class Relayed(TestCase):
@@ -53,7 +53,7 @@
             over = body["proof"] in ("done", "gone", "cut")
             return Done() if over else step or failures.OutcomeUnknown("x")
 
-        self.patch(passing, "stream", stream)
+        self.patch(proxying, "stream", stream)
         self.told = {
             "id": "t1",
             "method": "POST",
@@ -95,12 +95,12 @@
             head = Head(200, "", (*OWN, ("Location", location)))
             response = self.relay([("head", head), ("data", b"x")])
             environ = EnvironBuilder().get_environ()
-            self.assertRaises(ValueError, answers.given, response, environ, lambda *told: None)
+            self.assertRaises(ValueError, responses.given, response, environ, lambda *told: None)
             self.assertThat((self.ends, self.closed), Equals((["gone"], [True])))
 
     def test_a_stream_that_is_given_goes_on(self):
         response = self.relay([("head", Head(200, "", OWN)), ("data", b"x")])
-        parts = answers.given(response, EnvironBuilder().get_environ(), lambda *told: None)
+        parts = responses.given(response, EnvironBuilder().get_environ(), lambda *told: None)
         self.assertThat((next(iter(parts)), self.ends), Equals((b"x", [])))
         parts.close()
 
--- a/tests/test_unasked.py
+++ b/tests/test_unasked.py
@@ -16,9 +16,9 @@
 from pulleyhitch.caller import Caller
 from pulleyhitch.gateway import Gateway
 from pulleyhitch.request_framing import measure
-from routing import passing
-from routing.engines import Ask
-from routing.pool import Pool
+from routing import proxying
+from routing.connection_pool import Pool
+from routing.engine_api import Ask
 from routing.router import Leg
 from routing.tasks import Done, Stay
 from simulation.raw_requests import TENANTS, RawRequest
@@ -116,7 +116,7 @@
                 body = bytes([65 + number]) * 300_000
                 ask = Ask("POST", f"{engine.url}/{number}", body, (f"X-Try-Id: {number}",))
                 sent.add((ask.method, f"/{number}", body))
-                list(passing.stream(pool, engine.url, ask, 5000, 1000, False))
+                list(proxying.stream(pool, engine.url, ask, 5000, 1000, False))
             read = {(method, target, body) for method, target, _, body in engine.read}
             self.assertThat((read - sent, engine.strange), Equals((set(), [])))
 
@@ -124,7 +124,7 @@
         for sent_bytes, whole in ((0, False), (4, False), (5, True)):
             curl = SimpleNamespace(getinfo={pycurl.SIZE_UPLOAD_T: sent_bytes}.get)
             ask = Ask("POST", "http://e/", b"12345")
-            self.assertThat(passing._sent_whole(curl, ask), Equals(whole))
+            self.assertThat(proxying._sent_whole(curl, ask), Equals(whole))
 
 
 class Unasked(TestCase):
--- a/tests/test_unnamed_model.py
+++ b/tests/test_unnamed_model.py
@@ -6,7 +6,7 @@
 from adapter import callers, configuration
 from configuration import registry as registries
 from placement import floor
-from routing import choice, router
+from routing import engine_choice, router
 from routing.tasks import Leg
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
@@ -22,7 +22,7 @@
     retryWindowMs=10000.0,
     leg_ms=1000.0,
 )
-CREW = choice.Crew("c0", ("c0",), "z")
+CREW = engine_choice.Crew("c0", ("c0",), "z")
 
 
 class UnnamedModel(TestCase):
