--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -76,7 +76,7 @@
         if not handler.whole or hung_up(caller.sock):
             return None
         request = Request(handler.told)
-        told = self._dialect.read_caller(request, handler.target)
+        told = self._dialect.read_caller_request(request, handler.target)
         if isinstance(told, failures.Failure):
             handler.told[_STEP] = ("", {}, told)
             handler.run_wsgi()
@@ -135,7 +135,7 @@
         handler = Handler(caller, caller.address, self._front)
         if not handler.whole:
             return None
-        told = self._dialect.read_operator(Request(handler.told))
+        told = self._dialect.read_operator_request(Request(handler.told))
         if isinstance(told, failures.Failure):
             handler.told[_STEP] = ("", told)
             handler.run_wsgi()
@@ -164,7 +164,7 @@
 
     def _app(self, environ, start_response):
         verb, outcome = environ[_STEP]
-        status, headers, body = self._dialect.operator_answer(verb, outcome)
+        status, headers, body = self._dialect.operator_response(verb, outcome)
         return Response(body, status, headers)(environ, start_response)
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -12,7 +12,7 @@
 from configuration.schema import RANK
 from membership import peer_table
 from replication import follower as follows
-from routing import engine_choice, resuming, router
+from routing import choice, resuming, router
 from transport import failures
 from transport.effects import Reply
 
@@ -66,9 +66,7 @@
 def _ended(node, now_ms, token, body):
     age_ms = follows.age(node.follow, now_ms)
     nodes = crew(node, now_ms)
-    effects = router.attempt_ended(
-        node.router, now_ms, node.floor, age_ms, nodes, token, body["proof"]
-    )
+    effects = router.ended(node.router, now_ms, node.floor, age_ms, nodes, token, body["proof"])
     return effects + router.retry_waiting(node.router, now_ms, node.floor, age_ms, nodes)
 
 
@@ -134,7 +132,7 @@
 
 
 def crew(node, now_ms):
-    return engine_choice.RoutingNodes(
+    return choice.RoutingNodes(
         node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone
     )
 
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -241,9 +241,9 @@
             )
             body = engine_api.read_json(ended.data) if ended.code else {}
         else:
-            ask = self.dialect.call_ask(effect.url, effect.verb, told)
+            ask = self.dialect.engine_request(effect.url, effect.verb, told)
             ended = proxying.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
-            body = self.dialect.read_call(effect.verb, told, ended.code, ended.data)
+            body = self.dialect.read_engine_response(effect.verb, told, ended.code, ended.data)
         kept = ended.head is not None and ended.head.kept
         self._queue.put(e.Called(effect.id, ended.code, body or {}, ended.request_sent, kept))
 
--- a/libs/routing/src/routing/engine_choice.py
+++ b/libs/routing/src/routing/choice.py
@@ -17,7 +17,7 @@
 __all__ = [
     "RoutingNodes",
     "choose",
-    "attempt_limit",
+    "limit",
     "note_incarnation",
     "note_broken_attempt",
     "ms_until_place",
@@ -54,7 +54,7 @@
     return sum(1 for name in nodes.names if name != nodes.own_name and weight(key, name) > mine)
 
 
-def attempt_limit(router, now_ms, engine, nodes, rank, service=None):
+def limit(router, now_ms, engine, nodes, rank, service=None):
     """How many legs this node may have on an engine for a task of this rank."""
     if service is not None and "warmPerS" in service:
         return _limit_with_warmup_rate(router, now_ms, engine, nodes, rank, service)
@@ -125,8 +125,7 @@
     free = [
         e
         for e in engines
-        if router.in_flight.get(e["name"], 0)
-        < attempt_limit(router, now_ms, e, nodes, rank, service)
+        if router.in_flight.get(e["name"], 0) < limit(router, now_ms, e, nodes, rank, service)
     ]
     if not free:
         return None
--- a/libs/routing/src/routing/dialect.py
+++ b/libs/routing/src/routing/dialect.py
@@ -27,12 +27,12 @@
     """
 
     reader: object
-    call_ask: Callable
-    read_call: Callable
-    read_caller: Callable
-    leg_headers: Callable
-    judged: Callable
+    engine_request: Callable
+    read_engine_response: Callable
+    read_caller_request: Callable
+    attempt_headers: Callable
+    classify_response: Callable
     refusal: Callable
     event_id: Callable
-    read_operator: Callable
-    operator_answer: Callable
+    read_operator_request: Callable
+    operator_response: Callable
--- a/libs/routing/src/routing/engine_tracking.py
+++ b/libs/routing/src/routing/engine_tracking.py
@@ -10,7 +10,7 @@
 from placement import floor as floors
 from placement import world
 
-from routing import cold_engines, engine_choice
+from routing import choice, cold_engines
 
 __all__ = ["update"]
 
@@ -22,9 +22,7 @@
     names = _changed_engines(router, floor)
     router.seen_changes = floor.changes
     for engine in floors.servable(floor, names):
-        engine_choice.note_incarnation(
-            router, now_ms, engine["name"], floors.incarnation(floor, engine)
-        )
+        choice.note_incarnation(router, now_ms, engine["name"], floors.incarnation(floor, engine))
     if names is not None:
         return
     cold_engines.update(
--- a/libs/routing/src/routing/refusal_log.py
+++ b/libs/routing/src/routing/refusal_log.py
@@ -12,7 +12,7 @@
 from placement.placement import item_name
 from transport.effects import Note
 
-from routing import engine_choice
+from routing import choice
 
 __all__ = ["take_notes", "record"]
 
@@ -70,9 +70,7 @@
         "has": not item or ledgers.loaded(ledger, name, item),
         "entry": f"{entry['verb']} {entry['state']}" if entry else None,
         "busy": router.in_flight.get(name, 0),
-        "limit": engine_choice.attempt_limit(router, now_ms, engine, nodes, task.rank, service)
-        if nodes
-        else None,
+        "limit": choice.limit(router, now_ms, engine, nodes, task.rank, service) if nodes else None,
         "avoidedMs": _whole_ms(task.avoid_until_ms.get(name, now_ms) - now_ms),
         "brokeMs": _whole_ms(now_ms - router.broken_at_ms[name])
         if name in router.broken_at_ms
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -92,7 +92,7 @@
             request["method"],
             attempt.url + request["target"],
             request["body"],
-            self._dialect.leg_headers(request, attempt, after),
+            self._dialect.attempt_headers(request, attempt, after),
         )
         silent_ms = (
             max(_MIN_SILENT_MS, _SILENT_FRACTION * request["aimMs"])
@@ -120,7 +120,7 @@
                 if not isinstance(step, KeepWaiting):
                     return None, b"", step
             if kind == "head":
-                judged = self._dialect.judged(request, value)
+                judged = self._dialect.classify_response(request, value)
                 if judged == "not-run":
                     return None, b"", "not-run"
                 if judged != "ours":
--- a/libs/routing/src/routing/router.py
+++ b/libs/routing/src/routing/router.py
@@ -14,7 +14,7 @@
 from transport.effects import Reply
 
 from routing import (
-    engine_choice,
+    choice,
     engine_outcomes,
     engine_tracking,
     refusal_log,
@@ -35,7 +35,7 @@
     "begin",
     "admit",
     "refuse",
-    "attempt_ended",
+    "ended",
     "retry_waiting",
     "tick",
     "hold_answered",
@@ -94,7 +94,7 @@
     available = floors.engines_with(floor, task.service, item)
     available = [e for e in available if task.avoid_until_ms.get(e["name"], 0.0) <= now_ms]
     service = registries.services(floor.registry).get(task.service)
-    engine = engine_choice.choose(router, now_ms, available, nodes, task, task.rank, service)
+    engine = choice.choose(router, now_ms, available, nodes, task, task.rank, service)
     if engine is not None:
         router.in_flight[engine["name"]] = router.in_flight.get(engine["name"], 0) + 1
         task.current_engine = engine["name"]
@@ -116,9 +116,7 @@
             if not task.model_loaded and not task.awaits_place:
                 wait_queue.wait_for_place(task, now_ms)
             return []
-        ready_ms = engine_choice.ms_until_place(
-            router, now_ms, available, nodes, task.rank, service
-        )
+        ready_ms = choice.ms_until_place(router, now_ms, available, nodes, task.rank, service)
         if (
             0 < ready_ms < task.end_ms - now_ms
             and not task.attempted
@@ -177,7 +175,7 @@
         if e["name"] != engine
         and task.avoid_until_ms.get(e["name"], 0.0) <= now_ms
         and router.in_flight.get(e["name"], 0)
-        < engine_choice.attempt_limit(
+        < choice.limit(
             router,
             now_ms,
             e,
@@ -188,7 +186,7 @@
     ]
     if not others:
         return [Reply(token, KeepWaiting())]
-    return attempt_ended(router, now_ms, floor, age_ms, nodes, token, "unknown", True)
+    return ended(router, now_ms, floor, age_ms, nodes, token, "unknown", True)
 
 
 def retry_waiting(router, now_ms, floor, age_ms, nodes):
@@ -227,7 +225,7 @@
     return effects
 
 
-def attempt_ended(router, now_ms, floor, age_ms, nodes, token, proof, superseded=False):
+def ended(router, now_ms, floor, age_ms, nodes, token, proof, superseded=False):
     """A leg ended.  `proof`: "done", "failed" (the engine's own answer says so), "not-run"
     (the engine's refusal), "no-pipe" (nothing was sent), "unknown", "timed-out" (unknown,
     since its time was over), "cut" or "cut-late" (a stream broke, in its time or at its
@@ -249,7 +247,7 @@
             and now_ms - router.last_contact_ms.get(engine, -1e12) < 2 * router.settings.pauseMs
         )
         if proof in ("no-pipe", "unknown") and not answered_lately:
-            engine_choice.note_broken_attempt(router, now_ms, engine)
+            choice.note_broken_attempt(router, now_ms, engine)
     if proof in _FINAL_PROOFS:
         router.tasks.pop(token, None)
         router.served += proof == "done"
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -10,7 +10,7 @@
 
 from placement import demand, placer
 from pulleyhitch import shard_ownership
-from routing import connection_pool, engine_choice, proxying
+from routing import choice, connection_pool, proxying
 from routing.engine_api import EngineRequest
 from transport import failures
 from transport.effects import Reply
@@ -127,14 +127,14 @@
 
 def _tied_subject():
     """Requests of some subjects go to an engine that isn't there, for ever."""
-    kept = engine_choice.choose
+    kept = choice.choose
 
     def choose(r, now_ms, engines, crew, task, *more):
         best = kept(r, now_ms, engines, crew, task, *more)
         tied = best is not None and task.opening in _TIED_SUBJECTS
         return {**best, "url": _NOBODY} if tied else best
 
-    engine_choice.choose = choose
+    choice.choose = choose
 
 
 MUTANTS = {
--- a/libs/simulation/src/simulation/mutants_of_requests.py
+++ b/libs/simulation/src/simulation/mutants_of_requests.py
@@ -1,7 +1,7 @@
 """Mutants of routing: requests, answers, retries, warming up and final answers."""
 
 from placement import line
-from routing import engine_choice, pieces, retry_budget, router
+from routing import choice, pieces, retry_budget, router
 from transport import failures
 
 from simulation import breaking
@@ -15,7 +15,7 @@
         "unknown legs tried again",
         "stream-runs-once",
         foreign,
-        lambda: [(router, "attempt_ended", breaking.eager(router.attempt_ended))],
+        lambda: [(router, "ended", breaking.eager(router.ended))],
     ),
     Mutant(
         "unknown told as refused",
@@ -41,7 +41,7 @@
         "every counter its own ramp",
         "no-flood",
         restarted,
-        lambda: [(engine_choice, "attempt_limit", breaking.own_floor)],
+        lambda: [(choice, "limit", breaking.own_floor)],
         seeds=(3,),
         size="zatacka",
     ),
@@ -49,7 +49,7 @@
         "no ramp",
         "no-flood",
         lambda d: restarted(d) + plain_crowd(d),
-        lambda: [(engine_choice, "attempt_limit", lambda *a: 1000)],
+        lambda: [(choice, "limit", lambda *a: 1000)],
     ),
     Mutant(
         "no retry budget",
--- a/libs/simulation/src/simulation/prefixes.py
+++ b/libs/simulation/src/simulation/prefixes.py
@@ -8,7 +8,7 @@
 import random
 from concurrent.futures import ProcessPoolExecutor
 
-from routing import engine_choice
+from routing import choice
 
 from simulation import deployments
 from simulation.sim import faults, run
@@ -20,13 +20,13 @@
 
 def _one(job):
     name, seed, way = job
-    real, rng = engine_choice.choose, random.Random(seed)
+    real, rng = choice.choose, random.Random(seed)
 
     def other(r, now_ms, engines, crew, task, rank):
         free = [
             e
             for e in engines
-            if r.in_flight.get(e["name"], 0) < engine_choice.attempt_limit(r, now_ms, e, crew, rank)
+            if r.in_flight.get(e["name"], 0) < choice.limit(r, now_ms, e, crew, rank)
         ]
         if not free or not task.model:
             return real(r, now_ms, engines, crew, task, rank)
@@ -42,14 +42,14 @@
         faults.Step(12000.0, "hot-crowd", "", 3000.0),
     ]
     if way != "real":
-        engine_choice.choose = other
+        choice.choose = other
     sections = deployments.sections
     deployments.sections = lambda d, crowded=False: _many(sections(d, False))
     try:
         found = run.simulate(seed, deployments.BY_NAME[name], steps=steps, span_ms=60000.0)
         return found.facts["hits"], found.facts["misses"], found.facts["busiest"]
     finally:
-        engine_choice.choose, deployments.sections = real, sections
+        choice.choose, deployments.sections = real, sections
 
 
 def _many(sections):
--- a/libs/simulation/src/simulation/register/cluster.py
+++ b/libs/simulation/src/simulation/register/cluster.py
@@ -149,15 +149,15 @@
         headers = {} if match is None else {"If-Match": str(match)}
         built = EnvironBuilder(path, method=method, data=data, headers=headers)
         dialect = self.world.dialect
-        told = dialect.read_operator(Request(built.get_environ()))
+        told = dialect.read_operator_request(Request(built.get_environ()))
         if isinstance(told, failures.Failure):
-            status, _, body = dialect.operator_answer("", told)
+            status, _, body = dialect.operator_response("", told)
             answered(status, body)
             return None
         verb, asked = told
 
         def done(outcome):
-            status, _, body = dialect.operator_answer(verb, outcome)
+            status, _, body = dialect.operator_response(verb, outcome)
             answered(status, body)
 
         token = self.ask(name, verb, asked, done)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -10,7 +10,7 @@
 from placement import world
 from pulleyhitch import passages
 from replication import follower
-from routing import engine_choice, router
+from routing import choice, router
 from routing.tasks import Attempt
 from simulation.placing import SHARDS, engine_facts
 from transport import failures
@@ -18,7 +18,7 @@
 
 NOW_MS = 50_000.0
 BOUND_MS = 2500
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 ENGINES = 9
 TRIES = 3
 ROUTE_RANK = 5
@@ -122,9 +122,7 @@
     def fails(self, token, proof):
         """An attempt of a request ended without an answer."""
         node = self.node
-        effects = router.attempt_ended(
-            node.router, self.now_ms, node.floor, 0.0, CREW, token, proof
-        )
+        effects = router.ended(node.router, self.now_ms, node.floor, 0.0, CREW, token, proof)
         return _outcomes(effects)
 
     def silent(self, token):
--- a/tests/test_answer_identity.py
+++ b/tests/test_answer_identity.py
@@ -255,7 +255,7 @@
         self.ask(engine, pool)
         head, _, _ = self.ask(engine, pool)
         self.assertThat((head.kept, engine.connections), Equals((True, 1)))
-        self.assertThat(DIALECT.judged({"id": "second"}, head), Equals("foreign"))
+        self.assertThat(DIALECT.classify_response({"id": "second"}, head), Equals("foreign"))
 
     def test_calls_use_no_connection_of_requests(self):
         """Answers to calls bear no id: one answer too many would be taken for theirs."""
@@ -310,7 +310,7 @@
 
     def judged(self, code, kept=False, **headers):
         named = tuple((name.replace("_", "-"), value) for name, value in headers.items())
-        return DIALECT.judged({"id": "t1"}, ResponseHead(code, "", named, kept))
+        return DIALECT.classify_response({"id": "t1"}, ResponseHead(code, "", named, kept))
 
     def test_without_the_requests_id(self):
         """On a connection that carried another request it proves nothing."""
--- a/tests/test_engines_noticed.py
+++ b/tests/test_engines_noticed.py
@@ -12,8 +12,8 @@
 from placement import world
 from replication import state_machine
 from replication.follower import News
-from routing import engine_choice, router
-from routing.engine_choice import RoutingNodes
+from routing import choice, router
+from routing.choice import RoutingNodes
 
 SHARDS = 4
 SERVICES = ("plain", "models")
@@ -111,8 +111,8 @@
             sections = tuple(_Section(shard, record) for shard, record in told)
             floors.on_news(floor, None, News(sections))
         elif kind == "broke":
-            engine_choice.note_broken_attempt(sparing, now_ms, told)
-            engine_choice.note_broken_attempt(looking, now_ms, told)
+            choice.note_broken_attempt(sparing, now_ms, told)
+            choice.note_broken_attempt(looking, now_ms, told)
         looking.seen_changes = -1
         router.retry_waiting(sparing, now_ms, floor, 0.0, crew)
         router.retry_waiting(looking, now_ms, floor, 0.0, crew)
--- a/tests/test_places_given_back.py
+++ b/tests/test_places_given_back.py
@@ -87,7 +87,7 @@
 
     def end(self, token, proof):
         self.out.pop(token, None)
-        return router.attempt_ended(self.router, self.now_ms, self.floor, 0.0, CREW, token, proof)
+        return router.ended(self.router, self.now_ms, self.floor, 0.0, CREW, token, proof)
 
     def passes(self):
         self.now_ms += self.rng.choice((1.0, 40.0, 500.0, 3000.0))
--- a/tests/test_platform_cold.py
+++ b/tests/test_platform_cold.py
@@ -3,7 +3,7 @@
 import random
 
 from configuration.registry import Registry
-from routing import cold_engines, engine_choice
+from routing import choice, cold_engines
 from routing.router import Router, RoutingSettings
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -25,7 +25,7 @@
     service = {"warmPerS": per_s, "warmMs": 60000.0}
     sent_ms = []
     for name in names:
-        r, crew, now_ms = Router(TERMS), engine_choice.RoutingNodes(name, names), 10 * rng.random()
+        r, crew, now_ms = Router(TERMS), choice.RoutingNodes(name, names), 10 * rng.random()
         cold_engines.update(
             r, now_ms, Registry(engines={"e0": ENGINE}), {"s": service}, lambda e: True
         )
--- a/tests/test_platform_line.py
+++ b/tests/test_platform_line.py
@@ -6,7 +6,7 @@
 from configuration import registry as registries
 from placement import floor, world
 from placement import ledger as ledgers
-from routing import engine_choice, router
+from routing import choice, router
 from routing.tasks import Hold
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
@@ -21,7 +21,7 @@
     retryWindowMs=10000.0,
     attempt_ms=1000.0,
 )
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class Line(TestCase):
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent.py
@@ -4,13 +4,13 @@
 from configuration import passages
 from configuration.registry import Registry
 from placement import floor
-from routing import engine_choice, router
+from routing import choice, router
 from routing.tasks import Attempt, KeepWaiting
 from simulation.placing import SHARDS, engine_facts
 from testtools import TestCase
 from testtools.matchers import Equals
 
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class Silent(TestCase):
--- a/tests/test_refusal_notes.py
+++ b/tests/test_refusal_notes.py
@@ -5,7 +5,7 @@
 from adapter import configuration
 from configuration import registry as registries
 from placement import floor, ledger, world
-from routing import engine_choice, refusal_log, router
+from routing import choice, refusal_log, router
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
 from testtools import TestCase
@@ -21,7 +21,7 @@
     attempt_ms=20000.0,
     retryAllowance=50.0,
 )
-CREW = engine_choice.RoutingNodes("c0", ("c0", "c1", "c2"), "z")
+CREW = choice.RoutingNodes("c0", ("c0", "c1", "c2"), "z")
 DEADLINE_MS = 20000.0
 
 
@@ -73,9 +73,7 @@
         return token, [effect.outcome for effect in effects if hasattr(effect, "outcome")]
 
     def ended(self, token, proof):
-        effects = router.attempt_ended(
-            self.router, self.now_ms, self.floor, 0.0, CREW, token, proof
-        )
+        effects = router.ended(self.router, self.now_ms, self.floor, 0.0, CREW, token, proof)
         return [effect.outcome for effect in effects if hasattr(effect, "outcome")]
 
     def wait(self, span_ms, step_ms=40.0):
--- a/tests/test_register_machine.py
+++ b/tests/test_register_machine.py
@@ -297,15 +297,15 @@
         """As it was: what the holder says to a node that is behind goes to the operator."""
 
         def operator_answer(verb, outcome):
-            status, head, body = DIALECT.operator_answer(verb, outcome)
+            status, head, body = DIALECT.operator_response(verb, outcome)
             if verb == "zone" and "stamp-stale" in body:
                 status = 412
             return status, head, body
 
         mutant = SimpleNamespace(
             reader=DIALECT.reader,
-            read_operator=DIALECT.read_operator,
-            operator_answer=operator_answer,
+            read_operator_request=DIALECT.read_operator_request,
+            operator_response=operator_answer,
         )
         self.patch(command_forwarding, "_overtaken", lambda pending, body: False)
         self.patch(Cluster, "http", _with_dialect(Cluster.http, mutant))
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 import random
 
 from routing import retry_budget
-from routing.engine_choice import RoutingNodes
+from routing.choice import RoutingNodes
 from routing.router import Router, RoutingSettings
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -8,7 +8,7 @@
 from placement.floor import Floor as RoutingFloor
 from placement.floor import engines_with
 from placement.state import log
-from routing import engine_choice, engine_outcomes, router
+from routing import choice, engine_outcomes, router
 from routing.engine_calls import AttemptEnd
 from routing.tasks import Attempt
 from simulation.placing import SHARDS, TERMS
@@ -17,7 +17,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 ROUTING = router.RoutingSettings(1e12, 1000.0, 100.0, 0.1, 10_000.0, 1000.0)
 TICK_MS = 40.0
 TELL_MS = 600.0
@@ -140,7 +140,7 @@
         (leg,) = [e.outcome for e in effects if isinstance(e.outcome, Attempt)]
         well = leg.engine != "e0"
         proof = "done" if well else "failed"
-        router.attempt_ended(routers, now_ms, routes, 0.0, CREW, task.token, proof)
+        router.ended(routers, now_ms, routes, 0.0, CREW, task.token, proof)
         found[subject][0] += 1
         found[subject][1] += well
 
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -14,7 +14,7 @@
 from placement import floor
 from process_harness import lone_counter
 from pulleyhitch import config, server
-from routing import engine_choice, proxying, responses, router
+from routing import choice, proxying, responses, router
 from routing.engine_calls import AttemptEnd
 from routing.proxying import ResponseHead
 from routing.relaying import RequestRelay
@@ -30,7 +30,7 @@
 from werkzeug.wrappers import Request
 
 OWN = (("X-Try-Id", "t1"), ("X-Postmark", "p"))
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class Relayed(TestCase):
@@ -221,7 +221,7 @@
         (reply,) = router.begin(routing, 1000.0, self.floor, 0.0, CREW, task)
         for proof in proofs:
             self.assertIsInstance(reply.outcome, Attempt)
-            reply, *_ = router.attempt_ended(routing, now_ms, self.floor, 0.0, CREW, "t", proof)
+            reply, *_ = router.ended(routing, now_ms, self.floor, 0.0, CREW, "t", proof)
         return reply.outcome
 
     def test_promised_only_what_has_not_run(self):
--- a/tests/test_unnamed_model.py
+++ b/tests/test_unnamed_model.py
@@ -6,7 +6,7 @@
 from adapter import callers, configuration
 from configuration import registry as registries
 from placement import floor
-from routing import engine_choice, router
+from routing import choice, router
 from routing.tasks import Attempt
 from simulation import platform_made as made
 from simulation.placing import SHARDS, engine_facts
@@ -22,7 +22,7 @@
     retryWindowMs=10000.0,
     attempt_ms=1000.0,
 )
-CREW = engine_choice.RoutingNodes("c0", ("c0",), "z")
+CREW = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class UnnamedModel(TestCase):
