--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -241,7 +241,7 @@
 
 def quotas(config):
     bounds = config.bounds
-    return quota_settings.Terms(
+    return quota_settings.QuotaSettings(
         float(bounds.quotaWindowMs),
         bounds.quotaOverrun,
         bounds.quotaAllowance,
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -9,7 +9,7 @@
 
 from configuration import registry as registries
 from quotas import depot_choice, grant_shares, granting, spending
-from quotas.settings import Limit
+from quotas.settings import RateLimit
 from replication import follower as follows
 from routing import router, wait_queue
 from transport import failures
@@ -32,9 +32,9 @@
     """`standing` and `granting` are a depot's; `untold`: refusals by tenant since the ring
     was last told."""
 
-    spending: spending.Spending
-    granting: granting.Granting
-    standing: grant_shares.Standing | None = None
+    spending: spending.SpendingState
+    granting: granting.GrantingState
+    standing: grant_shares.GrantEligibility | None = None
     untold: dict = field(default_factory=dict)
     told_ms: float = -1e12
 
@@ -46,9 +46,11 @@
     stands = None
     if group is not None:
         restarted = bool(group.group)
-        stands = grant_shares.Standing(group.identity, terms.trust_ms, config.depots, restarted)
-    spends = spending.Spending(config.name, terms, number)
-    return Quotas(spends, granting.Granting(terms), stands)
+        stands = grant_shares.GrantEligibility(
+            group.identity, terms.quorum_timeout_ms, config.depots, restarted
+        )
+    spends = spending.SpendingState(config.name, terms, number)
+    return Quotas(spends, granting.GrantingState(terms), stands)
 
 
 def begin(node, now_ms, age_ms, crew, task):
@@ -59,10 +61,10 @@
     if limit is None or task.token not in node.router.tasks:
         return effects
     _learn_depots(node)
-    outcome = spending.take(node.quotas.spending, now_ms, limit, task.token)
+    outcome = spending.request_token(node.quotas.spending, now_ms, limit, task.token)
     if isinstance(outcome, spending.Pending):
         if not wait_queue.has_room(node.router, task):
-            spending.forget(node.quotas.spending, task.token)
+            spending.cancel(node.quotas.spending, task.token)
             full = failures.Overloaded(_LINE_FULL_RETRY_MS, "line-full")
             return effects + router.refuse(node.router, task, full)
         wait_queue.await_quota(task, now_ms)
@@ -77,7 +79,7 @@
     if facts is None or not facts["ratePerS"] > 0:
         return None
     burst = max(0.0, float(facts["burst"]))
-    return Limit(name, node.floor.registry.stamp, float(facts["ratePerS"]), burst)
+    return RateLimit(name, node.floor.registry.stamp, float(facts["ratePerS"]), burst)
 
 
 def _learn_depots(node):
@@ -99,12 +101,12 @@
 def _forget_gone(node):
     for token in _in_line(node):
         if token not in node.router.tasks:
-            spending.forget(node.quotas.spending, token)
+            spending.cancel(node.quotas.spending, token)
 
 
 def _in_line(node):
     spends = node.quotas.spending
-    return [one.token for name in sorted(spends.lined) for one in spends.tenants[name].line]
+    return [one.token for name in sorted(spends.queued) for one in spends.tenants[name].queue]
 
 
 def _decided(node, now_ms, crew, task, outcome):
@@ -121,9 +123,11 @@
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
     _observe(node, now_ms)
-    share = grant_shares.share(node.quotas.standing, now_ms, follows.age(node.follow, now_ms))
+    share = grant_shares.current_share(
+        node.quotas.standing, now_ms, follows.age(node.follow, now_ms)
+    )
     share = None if node.closing else share
-    return [Send(sender, granting.on_ask(node.quotas.granting, now_ms, message, share))]
+    return [Send(sender, granting.on_request(node.quotas.granting, now_ms, message, share))]
 
 
 def _observe(node, now_ms):
@@ -151,7 +155,7 @@
     for token in _in_line(node):
         task = node.router.tasks.get(token)
         if task is not None and now_ms >= task.give_up_ms:
-            spending.forget(node.quotas.spending, token)
+            spending.cancel(node.quotas.spending, token)
             unanswered = failures.Overloaded(_UNANSWERED_RETRY_MS, "no-quota-answer")
             effects += router.refuse(node.router, task, unanswered)
     return effects
@@ -175,7 +179,7 @@
         here = node.quotas.spending.tenants.get(name)
         if here is not None:
             counts = {"granted": here.granted, "spent": here.spent, "refused": here.refused}
-            found[name] |= {**counts, "waiting": len(here.line)}
+            found[name] |= {**counts, "waiting": len(here.queue)}
         held = node.quotas.granting.tenants.get(name)
         if held is not None:
             left = round(held.bucket.tokens, 2)
--- a/libs/quotas/src/quotas/bucket.py
+++ b/libs/quotas/src/quotas/bucket.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Bucket", "draw", "fill", "resize", "whole", "until_next_ms"]
+__all__ = ["Bucket", "draw", "refill", "resize", "whole_tokens", "ms_until_next"]
 
 # What rounding may take off a whole token.
 _ROUNDING = 1e-6
-_LONGEST_MS = 60_000.0
+_MAX_WAIT_MS = 60_000.0
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
     rate_per_ms: float
 
 
-def fill(bucket, now_ms):
+def refill(bucket, now_ms):
     """The bucket as it is now; time never runs backwards."""
     elapsed_ms = max(0.0, now_ms - bucket.filled_ms)
     tokens = min(bucket.capacity, bucket.tokens + elapsed_ms * bucket.rate_per_ms)
@@ -29,12 +29,12 @@
 def resize(bucket, now_ms, capacity, rate_per_ms):
     """Other terms from now on: tokens over the new capacity are lost, none are added."""
     if (bucket.capacity, bucket.rate_per_ms) == (capacity, rate_per_ms):
-        return fill(bucket, now_ms)
-    before = fill(bucket, now_ms)
+        return refill(bucket, now_ms)
+    before = refill(bucket, now_ms)
     return Bucket(min(before.tokens, capacity), before.filled_ms, capacity, rate_per_ms)
 
 
-def whole(bucket):
+def whole_tokens(bucket):
     """How many whole tokens are in it."""
     return int(bucket.tokens + _ROUNDING)
 
@@ -45,11 +45,11 @@
     return Bucket(left, bucket.filled_ms, bucket.capacity, bucket.rate_per_ms)
 
 
-def until_next_ms(bucket):
+def ms_until_next(bucket):
     """When the next whole token will be there, counted from `filled_ms`; 0 if one is."""
     missing = 1.0 - bucket.tokens
     if missing <= _ROUNDING:
         return 0.0
     if bucket.rate_per_ms <= 0:
-        return _LONGEST_MS
-    return min(_LONGEST_MS, missing / bucket.rate_per_ms)
+        return _MAX_WAIT_MS
+    return min(_MAX_WAIT_MS, missing / bucket.rate_per_ms)
--- a/libs/quotas/src/quotas/demand.py
+++ b/libs/quotas/src/quotas/demand.py
@@ -5,7 +5,7 @@
 
 __all__ = ["Demand", "count", "expected"]
 
-_FADES_MS = 1000.0
+_DECAY_MS = 1000.0
 
 
 @dataclass(frozen=True)
@@ -16,15 +16,15 @@
     at_ms: float = 0.0
 
 
-def _faded(demand, now_ms):
-    return demand.requests * math.exp(-max(0.0, now_ms - demand.at_ms) / _FADES_MS)
+def _decayed(demand, now_ms):
+    return demand.requests * math.exp(-max(0.0, now_ms - demand.at_ms) / _DECAY_MS)
 
 
 def count(demand, now_ms):
     """One more request has come in."""
-    return Demand(_faded(demand, now_ms) + 1.0, now_ms)
+    return Demand(_decayed(demand, now_ms) + 1.0, now_ms)
 
 
 def expected(demand, now_ms, span_ms):
     """How many requests are expected within `span_ms`."""
-    return _faded(demand, now_ms) * span_ms / _FADES_MS
+    return _decayed(demand, now_ms) * span_ms / _DECAY_MS
--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -8,23 +8,31 @@
 import zlib
 from dataclasses import dataclass, field
 
-__all__ = ["Depots", "Told", "answered", "candidates", "is_away", "next_ms", "pick"]
-__all__ += ["note_delay", "probes_due", "set_away", "silent_ms", "start", "update"]
-
-_PROBE_MS = 1000.0
+__all__ = [
+    "Depots",
+    "DepotReport",
+    "note_answer",
+    "candidates",
+    "none_grants",
+    "next_token_ms",
+    "pick",
+]
+__all__ += ["note_delay", "probes_due", "pass_over", "answer_timeout_ms", "start_index", "update"]
+
+_PROBE_INTERVAL_MS = 1000.0
 # For how long it counts what a depot said to have left.
-_REMEMBERED_MS = 1000.0
+_REPORT_VALID_MS = 1000.0
 # An ask may be unanswered for so many times as long as its depot's last answer took.
-_DELAYS = 1.5
-_LONGEST_SILENT_MS = 750.0
+_TIMEOUT_PER_DELAY = 1.5
+_MAX_ANSWER_TIMEOUT_MS = 750.0
 
 
 @dataclass(frozen=True)
-class Told:
+class DepotReport:
     """What a depot said of a tenant's bucket."""
 
     at_ms: float
-    left: float
+    tokens_left: float
     empty_until_ms: float
 
 
@@ -34,31 +42,31 @@
     answer of each took."""
 
     addresses: tuple = ()
-    away: dict = field(default_factory=dict)
+    probe_at_ms: dict = field(default_factory=dict)
     delays_ms: dict = field(default_factory=dict)
 
 
 def update(depots, addresses):
     """Learn the depots of the present membership."""
-    found = tuple(sorted(addresses))
-    if found == depots.addresses:
+    available = tuple(sorted(addresses))
+    if available == depots.addresses:
         return
-    depots.addresses = found
-    depots.away = {a: at_ms for a, at_ms in depots.away.items() if a in found}
-    depots.delays_ms = {a: ms for a, ms in depots.delays_ms.items() if a in found}
+    depots.addresses = available
+    depots.probe_at_ms = {a: at_ms for a, at_ms in depots.probe_at_ms.items() if a in available}
+    depots.delays_ms = {a: ms for a, ms in depots.delays_ms.items() if a in available}
 
 
-def start(node, tenant, number):
+def start_index(node, tenant, number):
     """Where a node begins with a tenant, so that the depots are drawn on evenly."""
     return zlib.crc32(f"{node}|{tenant}".encode()) % max(1, number)
 
 
-def answered(depots, address, granting, now_ms):
+def note_answer(depots, address, granting, now_ms):
     """A depot has answered, and said whether it grants."""
     if granting:
-        depots.away.pop(address, None)
+        depots.probe_at_ms.pop(address, None)
     else:
-        set_away(depots, address, now_ms)
+        pass_over(depots, address, now_ms)
 
 
 def note_delay(depots, address, delay_ms):
@@ -66,53 +74,60 @@
     depots.delays_ms[address] = delay_ms
 
 
-def silent_ms(depots, address, usual_ms):
+def answer_timeout_ms(depots, address, usual_ms):
     """How long an ask may be unanswered until its depot counts as silent: longer for one
     whose last answer came late, since asking others meanwhile draws more tokens."""
-    return max(usual_ms, min(_LONGEST_SILENT_MS, _DELAYS * depots.delays_ms.get(address, 0.0)))
+    return max(
+        usual_ms,
+        min(_MAX_ANSWER_TIMEOUT_MS, _TIMEOUT_PER_DELAY * depots.delays_ms.get(address, 0.0)),
+    )
 
 
-def set_away(depots, address, now_ms):
+def pass_over(depots, address, now_ms):
     """Pass a depot over until it answers a probe."""
-    depots.away.setdefault(address, now_ms + _PROBE_MS)
+    depots.probe_at_ms.setdefault(address, now_ms + _PROBE_INTERVAL_MS)
 
 
-def is_away(depots):
+def none_grants(depots):
     """Whether no depot is known to grant."""
-    return not [a for a in depots.addresses if a not in depots.away]
+    return not [a for a in depots.addresses if a not in depots.probe_at_ms]
 
 
 def probes_due(depots, now_ms):
     """The depots to be asked now whether they grant again."""
-    due = [a for a in depots.addresses if depots.away.get(a, now_ms + 1) <= now_ms]
+    due = [a for a in depots.addresses if depots.probe_at_ms.get(a, now_ms + 1) <= now_ms]
     for address in due:
-        depots.away[address] = now_ms + _PROBE_MS
+        depots.probe_at_ms[address] = now_ms + _PROBE_INTERVAL_MS
     return due
 
 
-def _empty(told, address, now_ms):
-    return address in told and told[address].empty_until_ms > now_ms
+def _is_empty(reports, address, now_ms):
+    return address in reports and reports[address].empty_until_ms > now_ms
 
 
-def candidates(depots, told, turn, now_ms):
+def candidates(depots, reports, turn, now_ms):
     """The depots that may have tokens, the next in turn first."""
     known = depots.addresses
-    if not is_away(depots):
-        known = tuple(a for a in known if a not in depots.away)
-    at = turn % len(known) if known else 0
-    return [a for a in known[at:] + known[:at] if not _empty(told, a, now_ms)]
+    if not none_grants(depots):
+        known = tuple(a for a in known if a not in depots.probe_at_ms)
+    start_at = turn % len(known) if known else 0
+    return [a for a in known[start_at:] + known[:start_at] if not _is_empty(reports, a, now_ms)]
 
 
-def pick(found, told, needed, now_ms):
+def pick(available, reports, needed, now_ms):
     """The first candidate that isn't known to have too few, or else the first."""
-    for address in found:
-        said = told.get(address)
-        if said is None or now_ms - said.at_ms > _REMEMBERED_MS or said.left >= needed:
+    for address in available:
+        report = reports.get(address)
+        if (
+            report is None
+            or now_ms - report.at_ms > _REPORT_VALID_MS
+            or report.tokens_left >= needed
+        ):
             return address
-    return found[0]
+    return available[0]
 
 
-def next_ms(depots, told, now_ms):
+def next_token_ms(depots, reports, now_ms):
     """When the first of the depots that grant will have a token again."""
-    ends_ms = [told[a].empty_until_ms for a in depots.addresses if _empty(told, a, now_ms)]
+    ends_ms = [reports[a].empty_until_ms for a in depots.addresses if _is_empty(reports, a, now_ms)]
     return min(ends_ms, default=now_ms)
--- a/libs/quotas/src/quotas/grant_shares.py
+++ b/libs/quotas/src/quotas/grant_shares.py
@@ -15,7 +15,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["Share", "Standing", "observe", "share"]
+__all__ = ["Share", "GrantEligibility", "observe", "current_share"]
 
 _ALWAYS_MS = -1e12
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class _Count:
+class _MemberCount:
     """How many members have to be counted, until `until_ms`."""
 
     members: int
@@ -37,18 +37,18 @@
 
 
 @dataclass
-class Standing:
+class GrantEligibility:
     """`restarted`: this depot began its life with a group on its disk.  `depots`: how many
     members there should be.  `removed`: it has seen a membership without itself in this life."""
 
     identity: str
-    trust_ms: float
-    depots: int
+    quorum_timeout_ms: float
+    expected_members: int
     restarted: bool = False
     removed: bool = False
     members: frozenset = frozenset()
     since_ms: float | None = None
-    earlier: list = field(default_factory=list)
+    past_counts: list = field(default_factory=list)
 
 
 def observe(eligibility, now_ms, members, founders):
@@ -58,7 +58,7 @@
     if not members:
         return
     if members != eligibility.members:
-        _count(eligibility, now_ms, _counted(eligibility, members))
+        _remember_count(eligibility, now_ms, _members_to_count(eligibility, members))
         eligibility.members = members
     if eligibility.identity not in members:
         eligibility.since_ms, eligibility.removed = None, True
@@ -68,31 +68,33 @@
 
 def _since_ms(eligibility, now_ms, founders):
     if eligibility.removed or eligibility.identity not in founders:
-        return now_ms + eligibility.trust_ms
+        return now_ms + eligibility.quorum_timeout_ms
     return now_ms if eligibility.restarted else _ALWAYS_MS
 
 
-def _counted(eligibility, after):
+def _members_to_count(eligibility, after):
     """The members to be counted after a change; one that was seen only in part counts all
     of them, and one that may have been before a restart as if there had been one more."""
     before = eligibility.members
     if not before:
-        return eligibility.depots + eligibility.restarted
+        return eligibility.expected_members + eligibility.restarted
     if len(before ^ after) <= 1:
         return len(before)
     return len(before | after)
 
 
-def _count(eligibility, now_ms, members):
-    eligibility.earlier = [count for count in eligibility.earlier if count.until_ms > now_ms]
-    eligibility.earlier.append(_Count(members, now_ms + eligibility.trust_ms))
+def _remember_count(eligibility, now_ms, members):
+    eligibility.past_counts = [
+        count for count in eligibility.past_counts if count.until_ms > now_ms
+    ]
+    eligibility.past_counts.append(_MemberCount(members, now_ms + eligibility.quorum_timeout_ms))
 
 
-def share(eligibility, now_ms, mark_age_ms):
+def current_share(eligibility, now_ms, heartbeat_age_ms):
     """The Share that may be granted now, or None."""
     if eligibility.since_ms is None or now_ms < eligibility.since_ms:
         return None
-    if mark_age_ms >= eligibility.trust_ms:
+    if heartbeat_age_ms >= eligibility.quorum_timeout_ms:
         return None
-    earlier = [count.members for count in eligibility.earlier if count.until_ms > now_ms]
-    return Share(max([len(eligibility.members), *earlier]), eligibility.since_ms)
+    past_counts = [count.members for count in eligibility.past_counts if count.until_ms > now_ms]
+    return Share(max([len(eligibility.members), *past_counts]), eligibility.since_ms)
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -12,16 +12,16 @@
 from quotas import grant_shares
 from quotas import settings as quota_settings
 
-__all__ = ["Granting", "TenantBucket", "on_ask"]
+__all__ = ["GrantingState", "TenantBucket", "on_request"]
 
 # Half a kilobyte each.
-_MOST_BUCKETS = 1 << 14
+_MAX_BUCKETS = 1 << 14
 # How often buckets are looked through for some to drop.
-_LOOK_EVERY_MS = 1000.0
+_CLEANUP_INTERVAL_MS = 1000.0
 # Tokens are leased ahead only out of what lies above this part of a bucket.
-_KEPT_FOR_WAITING = 0.5
+_RESERVED_FRACTION = 0.5
 # How far asks that find nothing are spread over the tokens to come.
-_LONGEST_QUEUE_MS = 500.0
+_MAX_QUEUE_MS = 500.0
 
 
 @dataclass
@@ -29,104 +29,106 @@
     """This depot's bucket for a tenant, by the highest version of the limit it was told.
     `queue_ms`: when the token comes that an ask which found nothing may come back for."""
 
-    limit: quota_settings.Limit
+    limit: quota_settings.RateLimit
     bucket: buckets.Bucket
-    queue_ms: float = 0.0
+    next_queued_ms: float = 0.0
     given: int = 0
     short: int = 0
 
 
 @dataclass
-class Granting:
+class GrantingState:
     """`share`: the part of every budget that the buckets are made for; `looked_ms`: when
     buckets to drop were last looked for."""
 
-    settings: quota_settings.Terms
+    settings: quota_settings.QuotaSettings
     share: grant_shares.Share | None = None
     tenants: dict = field(default_factory=dict)
-    looked_ms: float = -1e12
+    last_cleanup_ms: float = -1e12
 
 
-def on_ask(state, now_ms, ask, share):
+def on_request(state, now_ms, request, share):
     """The QuotaGrant for a QuotaAsk; `share` is this depot's part, None if it may not grant."""
     if share is None:
-        return QuotaGrant(ask.number, False, ())
+        return QuotaGrant(request.number, False, ())
     if share != state.share:
-        _reshare(state, now_ms, share)
-    return QuotaGrant(ask.number, True, tuple(_give(state, now_ms, w, share) for w in ask.wants))
+        _apply_share(state, now_ms, share)
+    return QuotaGrant(
+        request.number, True, tuple(_grant(state, now_ms, w, share) for w in request.wants)
+    )
 
 
-def _reshare(state, now_ms, share):
+def _apply_share(state, now_ms, share):
     """Another part from now on; none of what was held before this depot joined anew."""
     if state.share is not None and share.since_ms != state.share.since_ms:
         state.tenants.clear()
     state.share = share
     for held in state.tenants.values():
-        part = _part(state.settings, held.limit, share)
+        part = _own_part(state.settings, held.limit, share)
         held.bucket = buckets.resize(held.bucket, now_ms, *part)
 
 
-def _give(state, now_ms, want, share):
-    held = _held(state, now_ms, want, share)
+def _grant(state, now_ms, want, share):
+    held = _current_bucket(state, now_ms, want, share)
     if held is None:
-        return QuotaGiven(0, 0.0, _LONGEST_QUEUE_MS)
-    needed = min(max(0, want.needed), buckets.whole(held.bucket))
+        return QuotaGiven(0, 0.0, _MAX_QUEUE_MS)
+    needed = min(max(0, want.needed), buckets.whole_tokens(held.bucket))
     held.bucket = buckets.draw(held.bucket, needed)
-    spare = held.bucket.tokens - _KEPT_FOR_WAITING * held.bucket.capacity
+    spare = held.bucket.tokens - _RESERVED_FRACTION * held.bucket.capacity
     given = needed + max(0, min(want.ahead, int(spare)))
     held.bucket = buckets.draw(held.bucket, given - needed)
     held.given += given
     wait_ms = 0.0
     if needed < want.needed:
         held.short += want.needed - needed
-        wait_ms = _queue(held, now_ms, want.needed - needed)
+        wait_ms = _schedule_return(held, now_ms, want.needed - needed)
     return QuotaGiven(given, held.bucket.tokens, wait_ms)
 
 
-def _queue(held, now_ms, count):
+def _schedule_return(held, now_ms, count):
     """When to come back: the asks that find nothing are spread over the tokens to come."""
-    next_ms = now_ms + buckets.until_next_ms(held.bucket)
-    latest_ms = max(next_ms, now_ms + _LONGEST_QUEUE_MS)
-    told_ms = min(max(held.queue_ms, next_ms), latest_ms)
-    held.queue_ms = min(latest_ms, told_ms + count / max(held.bucket.rate_per_ms, 1e-9))
-    return max(1.0, told_ms - now_ms)
+    next_ms = now_ms + buckets.ms_until_next(held.bucket)
+    latest_ms = max(next_ms, now_ms + _MAX_QUEUE_MS)
+    return_ms = min(max(held.next_queued_ms, next_ms), latest_ms)
+    held.next_queued_ms = min(latest_ms, return_ms + count / max(held.bucket.rate_per_ms, 1e-9))
+    return max(1.0, return_ms - now_ms)
 
 
-def _held(state, now_ms, want, share):
+def _current_bucket(state, now_ms, want, share):
     """The tenant's bucket as it is now; None if there is no room for another one."""
-    told = quota_settings.Limit(want.tenant, want.version, want.ratePerS, want.burst)
+    limit = quota_settings.RateLimit(want.tenant, want.version, want.ratePerS, want.burst)
     held = state.tenants.get(want.tenant)
     if held is None:
-        if len(state.tenants) >= _MOST_BUCKETS and not _make_room(state, now_ms):
+        if len(state.tenants) >= _MAX_BUCKETS and not _make_room(state, now_ms):
             return None
-        held = state.tenants[want.tenant] = _first(state, now_ms, told, share)
-    if told.version > held.limit.version:
-        held.limit = told
-    held.bucket = buckets.resize(held.bucket, now_ms, *_part(state.settings, held.limit, share))
+        held = state.tenants[want.tenant] = _new_bucket(state, now_ms, limit, share)
+    if limit.version > held.limit.version:
+        held.limit = limit
+    held.bucket = buckets.resize(held.bucket, now_ms, *_own_part(state.settings, held.limit, share))
     return held
 
 
-def _first(state, now_ms, limit, share):
-    capacity, rate_per_ms = _part(state.settings, limit, share)
+def _new_bucket(state, now_ms, limit, share):
+    capacity, rate_per_ms = _own_part(state.settings, limit, share)
     empty = buckets.Bucket(0.0, min(now_ms, share.since_ms), capacity, rate_per_ms)
-    return TenantBucket(limit, buckets.fill(empty, now_ms))
+    return TenantBucket(limit, buckets.refill(empty, now_ms))
 
 
-def _part(settings, limit, share):
+def _own_part(settings, limit, share):
     """This depot's part of a limit: (capacity, rate a ms).  A token fits in any bucket."""
-    capacity = max(1.0, quota_settings.capacity(settings, limit.burst) / share.parts)
+    capacity = max(1.0, quota_settings.bucket_capacity(settings, limit.burst) / share.parts)
     return capacity, limit.rate_per_s / 1000 / share.parts
 
 
 def _make_room(state, now_ms):
     """Drop what may be dropped, unless that was done just before; say whether there was any."""
-    if now_ms - state.looked_ms < _LOOK_EVERY_MS:
+    if now_ms - state.last_cleanup_ms < _CLEANUP_INTERVAL_MS:
         return False
-    state.looked_ms = now_ms
-    return _drop_full(state, now_ms)
+    state.last_cleanup_ms = now_ms
+    return _drop_full_buckets(state, now_ms)
 
 
-def _drop_full(state, now_ms):
+def _drop_full_buckets(state, now_ms):
     """Drop the full buckets, which are the same when made anew; say whether there were any."""
     full = [name for name, held in state.tenants.items() if _is_full(held, now_ms)]
     for name in full:
@@ -135,5 +137,5 @@
 
 
 def _is_full(held, now_ms):
-    now = buckets.fill(held.bucket, now_ms)
+    now = buckets.refill(held.bucket, now_ms)
     return now.tokens >= now.capacity
--- a/libs/quotas/src/quotas/settings.py
+++ b/libs/quotas/src/quotas/settings.py
@@ -7,25 +7,25 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Limit", "Terms", "bound", "capacity", "lease_ms"]
+__all__ = ["RateLimit", "QuotaSettings", "max_requests", "bucket_capacity", "lease_ms"]
 
-_SHORTEST_LEASE_MS = 50.0
+_MIN_LEASE_MS = 50.0
 
 
 @dataclass(frozen=True)
-class Terms:
+class QuotaSettings:
     """`trust_ms`: how long a depot goes on granting after the last mark of a majority, and
     how long a newcomer waits.  `silent_ms`: how long an ask may be unanswered."""
 
     window_ms: float
     overrun: float
     allowance: float
-    trust_ms: float
-    silent_ms: float
+    quorum_timeout_ms: float
+    answer_timeout_ms: float
 
 
 @dataclass(frozen=True)
-class Limit:
+class RateLimit:
     """A tenant's limit in one version of the configuration."""
 
     tenant: str
@@ -36,15 +36,15 @@
 
 def lease_ms(settings):
     """How long leased tokens may be spent, counted from before they were asked for."""
-    return max(_SHORTEST_LEASE_MS, settings.overrun * settings.window_ms / 2)
+    return max(_MIN_LEASE_MS, settings.overrun * settings.window_ms / 2)
 
 
-def capacity(settings, burst):
+def bucket_capacity(settings, burst):
     """The size of a tenant's bucket, over all depots."""
     return burst + (settings.overrun * burst + settings.allowance) / 2
 
 
-def bound(settings, rate_per_s, burst):
+def max_requests(settings, rate_per_s, burst):
     """The most requests that may be sent and run within one window."""
-    within = rate_per_s * settings.window_ms / 1000 + burst
-    return within * (1 + settings.overrun) + settings.allowance
+    allowed = rate_per_s * settings.window_ms / 1000 + burst
+    return allowed * (1 + settings.overrun) + settings.allowance
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -15,63 +15,71 @@
 from quotas import depot_choice
 from quotas import settings as quota_settings
 from quotas.spending_state import (
-    Asking,
     Decision,
     Granted,
     Lease,
+    LeaseRequest,
     Pending,
     Refused,
-    SentAsk,
-    Spending,
-    TenantLine,
-    Waiting,
+    SentRequest,
+    SpendingState,
+    TenantQueue,
+    WaitingRequest,
 )
 
-__all__ = ["Asking", "Decision", "Granted", "Pending", "Refused", "Spending", "TenantLine"]
-__all__ += ["advance", "forget", "on_grant", "take"]
+__all__ = [
+    "LeaseRequest",
+    "Decision",
+    "Granted",
+    "Pending",
+    "Refused",
+    "SpendingState",
+    "TenantQueue",
+]
+__all__ += ["advance", "cancel", "on_grant", "request_token"]
 
 # From so many requests a lease on, tokens are leased ahead.
-_DENSE = 2.0
+_LEASE_AHEAD_MIN = 2.0
 
 
-def take(state, now_ms, limit, token):
+def request_token(state, now_ms, limit, token):
     """A request of a limited tenant has come in: Granted, Refused or Pending."""
-    tenant = _tenant(state, limit)
+    tenant = _tenant_queue(state, limit)
     tenant.demand = demands.count(tenant.demand, now_ms)
-    if not tenant.line and _spend(tenant, now_ms, now_ms):
+    if not tenant.queue and _spend(tenant, now_ms, now_ms):
         return Granted()
-    if not tenant.line and _exhausted(state, tenant, now_ms):
+    if not tenant.queue and _exhausted(state, tenant, now_ms):
         return _refuse(state, tenant, now_ms)
-    tenant.line.append(Waiting(token, now_ms))
-    state.lined.add(limit.tenant)
+    tenant.queue.append(WaitingRequest(token, now_ms))
+    state.queued.add(limit.tenant)
     return Pending()
 
 
-def forget(state, token):
+def cancel(state, token):
     """A request that waited is over: no token is spent on it."""
-    for name in list(state.lined):
+    for name in list(state.queued):
         tenant = state.tenants[name]
-        if any(waiting.token == token for waiting in tenant.line):
-            tenant.line = deque(w for w in tenant.line if w.token != token)
-        if not tenant.line:
-            state.lined.discard(name)
+        if any(waiting.token == token for waiting in tenant.queue):
+            tenant.queue = deque(w for w in tenant.queue if w.token != token)
+        if not tenant.queue:
+            state.queued.discard(name)
 
 
 def on_grant(state, now_ms, sender, grant):
     """A depot has answered.  What was answered before, or is from before this life, adds
     nothing; what comes late is leased until the end that it had from the start."""
-    depot_choice.answered(state.depots, sender, grant.granting, now_ms)
+    depot_choice.note_answer(state.depots, sender, grant.granting, now_ms)
     sent = state.sent.pop(grant.number, None)
     if sent is None:
         return
     depot_choice.note_delay(state.depots, sender, now_ms - sent.sent_ms)
-    _no_longer_asked(state, sent)
+    _stop_counting(state, sent)
     for want, given in zip(sent.wants, grant.given):
         tenant = state.tenants[want.tenant]
         short = given.given < want.needed
         empty_until_ms = now_ms + given.wait_ms if short else 0.0
-        if _is_like(tenant.limit, want.ratePerS, want.burst):
-            tenant.told[sent.to] = depot_choice.Told(now_ms, given.left, empty_until_ms)
+        if _has_same_rate(tenant.limit, want.ratePerS, want.burst):
+            tenant.reports[sent.to] = depot_choice.DepotReport(now_ms, given.left, empty_until_ms)
         tenant.granted += given.given
         if given.given > 0:
             end_ms = _lease_end_ms(state, sent)
@@ -79,42 +87,42 @@
 
 
 def _lease_end_ms(state, sent):
-    return sent.sent_ms + quota_settings.lease_ms(state.terms)
+    return sent.sent_ms + quota_settings.lease_ms(state.settings)
 
 
 def advance(state, now_ms):
     """What is decided by now of the requests in line, and the asks to be sent at once."""
-    _give_up(state, now_ms)
+    _time_out_requests(state, now_ms)
     decisions = _decide(state, now_ms)
-    return decisions, _probes(state, now_ms) + _asks(state, now_ms)
+    return decisions, _probe_requests(state, now_ms) + _requests_due(state, now_ms)
 
 
-def _tenant(state, limit):
+def _tenant_queue(state, limit):
     tenant = state.tenants.get(limit.tenant)
     if tenant is None:
-        turn = depot_choice.start(state.node, limit.tenant, len(state.depots.addresses))
-        tenant = state.tenants[limit.tenant] = TenantLine(limit, turn)
+        turn = depot_choice.start_index(state.node, limit.tenant, len(state.depots.addresses))
+        tenant = state.tenants[limit.tenant] = TenantQueue(limit, turn)
     if limit.version >= tenant.limit.version:
-        _follow(tenant, limit)
+        _update_limit(tenant, limit)
     return tenant
 
 
-def _follow(tenant, limit):
+def _update_limit(tenant, limit):
     """What depots said of another rate or burst tells nothing of when tokens come now."""
-    if not _is_like(tenant.limit, limit.rate_per_s, limit.burst):
-        tenant.told.clear()
+    if not _has_same_rate(tenant.limit, limit.rate_per_s, limit.burst):
+        tenant.reports.clear()
     tenant.limit = limit
 
 
-def _is_like(limit, rate_per_s, burst):
+def _has_same_rate(limit, rate_per_s, burst):
     return (limit.rate_per_s, limit.burst) == (rate_per_s, burst)
 
 
-def _spend(tenant, now_ms, came_ms):
+def _spend(tenant, now_ms, arrived_ms):
     """Spend a token of the lease that ends first on a request that came in at `came_ms`, if
     there is one for it."""
-    tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_of_use(tenant, x, now_ms)]
-    found = [x for x in tenant.leases if _lasts(x, now_ms) or came_ms <= x.asked_ms]
+    tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_usable(tenant, x, now_ms)]
+    found = [x for x in tenant.leases if _is_valid(x, now_ms) or arrived_ms <= x.requested_ms]
     if not found:
         return False
     min(found, key=lambda lease: lease.end_ms).tokens -= 1
@@ -122,117 +130,122 @@
     return True
 
 
-def _lasts(lease, now_ms):
+def _is_valid(lease, now_ms):
     return now_ms < lease.end_ms
 
 
-def _is_of_use(tenant, lease, now_ms):
-    return _lasts(lease, now_ms) or _waits_since(tenant, lease.asked_ms)
+def _is_usable(tenant, lease, now_ms):
+    return _is_valid(lease, now_ms) or _has_request_since(tenant, lease.requested_ms)
 
 
-def _waits_since(tenant, asked_ms):
+def _has_request_since(tenant, requested_ms):
     """Whether a request is in line that had come in when an ask was sent at `asked_ms`."""
-    return bool(tenant.line) and tenant.line[0].came_ms <= asked_ms
+    return bool(tenant.queue) and tenant.queue[0].arrived_ms <= requested_ms
 
 
 def _exhausted(state, tenant, now_ms):
     """Whether there are depots that grant, and all of them said that they have no token."""
-    if tenant.asked or depot_choice.is_away(state.depots):
+    if tenant.tokens_requested or depot_choice.none_grants(state.depots):
         return False
-    return not depot_choice.candidates(state.depots, tenant.told, tenant.turn, now_ms)
+    return not depot_choice.candidates(state.depots, tenant.reports, tenant.turn, now_ms)
 
 
 def _refuse(state, tenant, now_ms):
     tenant.refused += 1
-    next_ms = depot_choice.next_ms(state.depots, tenant.told, now_ms)
+    next_ms = depot_choice.next_token_ms(state.depots, tenant.reports, now_ms)
     return Refused(max(1.0, next_ms - now_ms))
 
 
-def _give_up(state, now_ms):
+def _time_out_requests(state, now_ms):
     """Asks that are unanswered for too long: their depots are passed over."""
     for number, sent in list(state.sent.items()):
-        silent_ms = depot_choice.silent_ms(state.depots, sent.to, state.terms.silent_ms)
-        if not sent.given_up and now_ms - sent.sent_ms >= silent_ms:
-            sent.given_up = True
-            _take_back(state, sent)
-            depot_choice.set_away(state.depots, sent.to, now_ms)
-        if sent.given_up and _is_too_late(state, sent, now_ms):
+        timeout_ms = depot_choice.answer_timeout_ms(
+            state.depots, sent.to, state.settings.answer_timeout_ms
+        )
+        if not sent.timed_out and now_ms - sent.sent_ms >= timeout_ms:
+            sent.timed_out = True
+            _subtract_requested(state, sent)
+            depot_choice.pass_over(state.depots, sent.to, now_ms)
+        if sent.timed_out and _is_useless_by_now(state, sent, now_ms):
             del state.sent[number]
 
 
-def _is_too_late(state, sent, now_ms):
+def _is_useless_by_now(state, sent, now_ms):
     """Whether nothing can be spent any more of what an ask may still bring."""
     if now_ms < _lease_end_ms(state, sent):
         return False
-    return not any(_waits_since(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
+    return not any(_has_request_since(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
 
 
-def _no_longer_asked(state, sent):
-    if not sent.given_up:
-        _take_back(state, sent)
+def _stop_counting(state, sent):
+    if not sent.timed_out:
+        _subtract_requested(state, sent)
 
 
-def _take_back(state, sent):
+def _subtract_requested(state, sent):
     for want in sent.wants:
-        state.tenants[want.tenant].asked -= want.needed
+        state.tenants[want.tenant].tokens_requested -= want.needed
 
 
 def _decide(state, now_ms):
     decisions = []
-    for name in sorted(state.lined):
+    for name in sorted(state.queued):
         tenant = state.tenants[name]
-        while tenant.line and _spend(tenant, now_ms, tenant.line[0].came_ms):
-            decisions.append(Decision(tenant.line.popleft().token, Granted()))
-        if tenant.line and _exhausted(state, tenant, now_ms):
-            while tenant.line:
+        while tenant.queue and _spend(tenant, now_ms, tenant.queue[0].arrived_ms):
+            decisions.append(Decision(tenant.queue.popleft().token, Granted()))
+        if tenant.queue and _exhausted(state, tenant, now_ms):
+            while tenant.queue:
                 refused = _refuse(state, tenant, now_ms)
-                decisions.append(Decision(tenant.line.popleft().token, refused))
-        if not tenant.line:
-            state.lined.discard(name)
+                decisions.append(Decision(tenant.queue.popleft().token, refused))
+        if not tenant.queue:
+            state.queued.discard(name)
     return decisions
 
 
-def _probes(state, now_ms):
+def _probe_requests(state, now_ms):
     due = depot_choice.probes_due(state.depots, now_ms)
-    return [Asking(to, QuotaAsk(_next(state), ())) for to in due]
+    return [LeaseRequest(to, QuotaAsk(_next_number(state), ())) for to in due]
 
 
-def _asks(state, now_ms):
+def _requests_due(state, now_ms):
     """One ask for each depot that is asked for anything now."""
     wants: dict[str, list[QuotaWant]] = {}
-    for name in sorted(state.lined):
+    for name in sorted(state.queued):
         tenant = state.tenants[name]
-        needed = len(tenant.line) - tenant.asked
-        found = depot_choice.candidates(state.depots, tenant.told, tenant.turn, now_ms)
-        if needed <= 0 or not found or _rests(state, tenant, now_ms):
+        needed = len(tenant.queue) - tenant.tokens_requested
+        found = depot_choice.candidates(state.depots, tenant.reports, tenant.turn, now_ms)
+        if needed <= 0 or not found or _must_pause(state, tenant, now_ms):
             continue
-        to = depot_choice.pick(found, tenant.told, needed, now_ms)
+        to = depot_choice.pick(found, tenant.reports, needed, now_ms)
         tenant.turn += 1
-        tenant.asked += needed
-        tenant.asked_ms = now_ms
+        tenant.tokens_requested += needed
+        tenant.last_request_ms = now_ms
         wants.setdefault(to, []).append(_want(state, tenant, now_ms, needed))
-    return [_send(state, now_ms, to, tuple(told)) for to, told in sorted(wants.items())]
+    return [
+        _lease_request(state, now_ms, to, tuple(tenant_wants))
+        for to, tenant_wants in sorted(wants.items())
+    ]
 
 
-def _rests(state, tenant, now_ms):
+def _must_pause(state, tenant, now_ms):
     """While no depot grants, they are tried one after another at some distance."""
-    all_away = depot_choice.is_away(state.depots)
-    return all_away and now_ms - tenant.asked_ms < state.terms.silent_ms
+    all_away = depot_choice.none_grants(state.depots)
+    return all_away and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
 
 
 def _want(state, tenant, now_ms, needed):
     limit = tenant.limit
-    coming = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.terms))
-    ahead = int(coming) if coming >= _DENSE else 0
+    expected = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.settings))
+    ahead = int(expected) if expected >= _LEASE_AHEAD_MIN else 0
     return QuotaWant(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
 
 
-def _send(state, now_ms, to, wants):
-    number = _next(state)
-    state.sent[number] = SentAsk(to, now_ms, wants)
-    return Asking(to, QuotaAsk(number, wants))
+def _lease_request(state, now_ms, to, wants):
+    number = _next_number(state)
+    state.sent[number] = SentRequest(to, now_ms, wants)
+    return LeaseRequest(to, QuotaAsk(number, wants))
 
 
-def _next(state):
+def _next_number(state):
     state.number += 1
     return state.number
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -9,8 +9,8 @@
 from quotas import depot_choice
 from quotas import settings as quota_settings
 
-__all__ = ["Asking", "Decision", "Granted", "Lease", "Pending", "Refused", "SentAsk"]
-__all__ += ["Spending", "TenantLine", "Waiting"]
+__all__ = ["LeaseRequest", "Decision", "Granted", "Lease", "Pending", "Refused", "SentRequest"]
+__all__ += ["SpendingState", "TenantQueue", "WaitingRequest"]
 
 
 @dataclass(frozen=True)
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Asking:
+class LeaseRequest:
     """An ask to be sent to a depot."""
 
     to: str
@@ -53,55 +53,55 @@
 
     tokens: int
     end_ms: float
-    asked_ms: float
+    requested_ms: float
 
 
 @dataclass(frozen=True)
-class Waiting:
+class WaitingRequest:
     """A request in line, which came in at `came_ms`."""
 
     token: str
-    came_ms: float
+    arrived_ms: float
 
 
 @dataclass
-class SentAsk:
+class SentRequest:
     """An ask under way; one that is given up may still be answered within its lease, or
     while a request waits that it was sent for."""
 
     to: str
     sent_ms: float
     wants: tuple
-    given_up: bool = False
+    timed_out: bool = False
 
 
 @dataclass
-class TenantLine:
+class TenantQueue:
     """A tenant at this node.  `asked`: tokens that asks under way are to bring to the line;
     `asked_ms`: when the last one was sent."""
 
-    limit: quota_settings.Limit
+    limit: quota_settings.RateLimit
     turn: int
-    line: deque = field(default_factory=deque)
+    queue: deque = field(default_factory=deque)
     leases: list = field(default_factory=list)
-    told: dict = field(default_factory=dict)
+    reports: dict = field(default_factory=dict)
     demand: demands.Demand = field(default_factory=demands.Demand)
-    asked: int = 0
-    asked_ms: float = -1e12
+    tokens_requested: int = 0
+    last_request_ms: float = -1e12
     granted: int = 0
     spent: int = 0
     refused: int = 0
 
 
 @dataclass
-class Spending:
+class SpendingState:
     """`number`: that of the last ask, begun anywhere, so that what was meant for an earlier
     life of this node is told apart."""
 
     node: str
-    terms: quota_settings.Terms
+    settings: quota_settings.QuotaSettings
     number: int = 0
     depots: depot_choice.Depots = field(default_factory=depot_choice.Depots)
     tenants: dict = field(default_factory=dict)
     sent: dict = field(default_factory=dict)
-    lined: set = field(default_factory=set)
+    queued: set = field(default_factory=set)
--- a/tests/quota_records.py
+++ b/tests/quota_records.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from quotas.settings import Limit, Terms, bound
+from quotas.settings import QuotaSettings, RateLimit, max_requests
 
-TERMS = Terms(5000.0, 0.1, 20.0, 6000.0, 120.0)
+TERMS = QuotaSettings(5000.0, 0.1, 20.0, 6000.0, 120.0)
 # How long a change of a limit may take until all nodes follow it.
 SETTLED_MS = 2500.0
 
@@ -33,16 +33,16 @@
         from_ms, to_ms, times = self.hot
         return self.load * (times if from_ms <= now_ms < to_ms else 1.0)
 
-    def bound(self, start_ms, settings):
+    def max_requests(self, start_ms, settings):
         """The loosest bound that a window from `start_ms` may be held to."""
         first_ms = start_ms - settings.window_ms - SETTLED_MS
         kept = [self.limit(max(0.0, first_ms))]
         kept += [x for at_ms, x in self.limits if first_ms < at_ms <= start_ms + settings.window_ms]
-        return max(bound(settings, x.rate_per_s, x.burst) for x in kept)
+        return max(max_requests(settings, x.rate_per_s, x.burst) for x in kept)
 
 
 def tenant(name, rate, burst, load, hot=(0.0, 0.0, 1.0)):
-    return Tenant([(0.0, Limit(name, 1, rate, burst))], load, hot)
+    return Tenant([(0.0, RateLimit(name, 1, rate, burst))], load, hot)
 
 
 def worst_window(runs, tenant, settings):
@@ -57,6 +57,6 @@
             if other.sent_ms > end_ms:
                 break
             count += other.ended_ms <= end_ms
-        allowed = tenant.bound(request.sent_ms, settings)
+        allowed = tenant.max_requests(request.sent_ms, settings)
         found = max(found, (count - allowed, count, allowed))
     return found
--- a/tests/quota_troubles.py
+++ b/tests/quota_troubles.py
@@ -2,7 +2,7 @@
 
 import random
 
-from quota_records import Limit, tenant
+from quota_records import RateLimit, tenant
 from quota_world import World
 
 DAY_MS = 30_000.0
@@ -71,7 +71,7 @@
 def _limits(world, rng):
     name = rng.choice(["hot0", "hot1"])
     for version, at_ms in ((2, rng.uniform(4000, 10_000)), (3, rng.uniform(10_000, 22_000))):
-        limit = Limit(name, version, rng.choice([10, 20, 80]), rng.choice([2, 30]))
+        limit = RateLimit(name, version, rng.choice([10, 20, 80]), rng.choice([2, 30]))
         world.tenants[name].limits.append((at_ms, limit))
 
 
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -22,7 +22,7 @@
 
 @dataclass
 class Counter:
-    spending: spending.Spending
+    spending: spending.SpendingState
     waiting: dict = field(default_factory=dict)
     frozen_until_ms: float = 0.0
     limits_held: bool = False
@@ -31,8 +31,8 @@
 @dataclass
 class Depot:
     identity: str
-    standing: grant_shares.Standing
-    granting: granting.Granting
+    standing: grant_shares.GrantEligibility
+    granting: granting.GrantingState
     members: frozenset = frozenset()
     mark_ms: float = -1e12
     frozen_until_ms: float = 0.0
@@ -61,7 +61,7 @@
         self.counters = {}
         for n in range(counters):
             name = f"c{n}"
-            state = spending.Spending(name, terms, self.random.randrange(1 << 40))
+            state = spending.SpendingState(name, terms, self.random.randrange(1 << 40))
             self.counters[name] = Counter(state)
             self._learn(name, self.members)
             self.at(self.random.uniform(0, TICK_MS), self._tick, name)
@@ -108,7 +108,7 @@
         limit = self.tenants[request.tenant].limit(max(0.0, known_ms))
         token = str(number)
         counter.waiting[token] = request
-        outcome = spending.take(counter.spending, self.now_ms, limit, token)
+        outcome = spending.request_token(counter.spending, self.now_ms, limit, token)
         if isinstance(outcome, spending.Pending):
             self.after(PATIENCE_MS, self._leave, request.counter, token)
         else:
@@ -119,7 +119,7 @@
         counter = self.counters[name]
         request = counter.waiting.pop(token, None)
         if request is not None:
-            spending.forget(counter.spending, token)
+            spending.cancel(counter.spending, token)
             request.outcome, request.ended_ms = "left", self.now_ms
 
     def _end(self, counter, token, outcome):
@@ -174,15 +174,17 @@
             spending.on_grant(node.spending, self.now_ms, sender, message)
             return self._advance(to)
         self._observe(node)
-        share = grant_shares.share(node.standing, self.now_ms, self.now_ms - node.mark_ms)
-        self._send(to, sender, granting.on_ask(node.granting, self.now_ms, message, share))
+        share = grant_shares.current_share(node.standing, self.now_ms, self.now_ms - node.mark_ms)
+        self._send(to, sender, granting.on_request(node.granting, self.now_ms, message, share))
 
     # --- depots and their group
 
     def _begin_depot(self, name, restarted=False):
         life = self.depots[name].life + 1 if name in self.depots else 0
-        stands = grant_shares.Standing(name, self.terms.trust_ms, self.depots_wanted, restarted)
-        self.depots[name] = Depot(name, stands, granting.Granting(self.terms), life=life)
+        stands = grant_shares.GrantEligibility(
+            name, self.terms.quorum_timeout_ms, self.depots_wanted, restarted
+        )
+        self.depots[name] = Depot(name, stands, granting.GrantingState(self.terms), life=life)
         self.after(self.random.uniform(0, MARK_EVERY_MS), self._mark, name, life)
 
     def _mark(self, name, life):
--- a/tests/test_quota_mutants.py
+++ b/tests/test_quota_mutants.py
@@ -18,7 +18,7 @@
 
     # QUOTA: a node that was idle spent what it had been leased long ago.
     def test_leases_without_an_end(self):
-        self.check(load_that_moves, (spending, "_lasts", lambda lease, now_ms: True))
+        self.check(load_that_moves, (spending, "_is_valid", lambda lease, now_ms: True))
 
     # QUOTA: answers that were held up came all at once and counted in full.
     def test_leases_that_begin_when_the_grant_comes(self):
@@ -38,7 +38,7 @@
         self.check(
             doubled_grants,
             (spending, "on_grant", take_twice),
-            (spending, "_no_longer_asked", lambda state, sent: None),
+            (spending, "_stop_counting", lambda state, sent: None),
         )
 
     # QUOTA: a depot that restarted gave out its bucket again.
@@ -54,18 +54,18 @@
         def always(stands, now_ms, mark_age_ms):
             return true_share(stands, now_ms, 0.0)
 
-        true_share = grant_shares.share
-        self.check(replaced, (grant_shares, "share", always))
+        true_share = grant_shares.current_share
+        self.check(replaced, (grant_shares, "current_share", always))
 
     # QUOTA: fewer members took larger parts while one that was removed held its own.
     def test_a_part_that_grows_as_soon_as_the_group_is_smaller(self):
-        self.check(shrunk, (grant_shares, "_counted", lambda stands, after: len(after)))
+        self.check(shrunk, (grant_shares, "_members_to_count", lambda stands, after: len(after)))
 
     # QUOTA: a limit that was raised filled the bucket.
     def test_a_raised_limit_that_fills_the_bucket(self):
         def filled(bucket, now_ms, capacity, rate_per_ms):
             if capacity == bucket.capacity:
-                return buckets.fill(bucket, now_ms)
+                return buckets.refill(bucket, now_ms)
             return buckets.Bucket(capacity, now_ms, capacity, rate_per_ms)
 
         self.check(raised, (granting.buckets, "resize", filled))
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -6,7 +6,7 @@
 from adapter import callers
 from pulleyhitch import quota_requests
 from quota_records import Request, Tenant, worst_window
-from quotas.settings import Limit
+from quotas.settings import RateLimit
 from routing import router
 from simulation import deployments
 from simulation.placing import engine_facts
@@ -103,8 +103,8 @@
     def test_a_flood_is_held_to_the_limit(self):
         self.load(300, 9000)
         runs = [request for request in self.requests if request.outcome == "run"]
-        terms = self.node("c0").quotas.spending.terms
-        tenant = Tenant([(0.0, Limit(LIMITED, 1, RATE, BURST))], 0.0)
+        terms = self.node("c0").quotas.spending.settings
+        tenant = Tenant([(0.0, RateLimit(LIMITED, 1, RATE, BURST))], 0.0)
         self.assertThat(worst_window(runs, tenant, terms)[0], LessThan(1e-9))
         self.assertThat(len(runs), GreaterThan(0.95 * (9 * RATE + BURST)))
         refused = {type(x) for x in self.outcomes.values()} - {router.Attempt}
@@ -177,7 +177,7 @@
         self.spin(2000)
         spends = self.node("c0").quotas.spending
         self.assertThat(spends.tenants[LIMITED].spent, Equals(0))
-        self.assertThat(spends.lined, Equals(set()))
+        self.assertThat(spends.queued, Equals(set()))
 
     def test_a_line_that_is_full_takes_no_more(self):
         self.cut_from_depots("c0")
