--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -17,7 +17,7 @@
     "next_token_ms",
     "pick",
 ]
-__all__ += ["note_delay", "probes_due", "pass_over", "answer_timeout_ms", "start_index", "update"]
+__all__ += ["note_delay", "probes_due", "pass_over", "answer_timeout_ms", "start", "update"]
 
 _PROBE_INTERVAL_MS = 1000.0
 # For how long it counts what a depot said to have left.
@@ -56,7 +56,7 @@
     depots.delays_ms = {a: ms for a, ms in depots.delays_ms.items() if a in available}
 
 
-def start_index(node, tenant, number):
+def start(node, tenant, number):
     """Where a node begins with a tenant, so that the depots are drawn on evenly."""
     return zlib.crc32(f"{node}|{tenant}".encode()) % max(1, number)
 
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -100,7 +100,7 @@
 def _tenant_queue(state, limit):
     tenant = state.tenants.get(limit.tenant)
     if tenant is None:
-        turn = depot_choice.start_index(state.node, limit.tenant, len(state.depots.addresses))
+        turn = depot_choice.start(state.node, limit.tenant, len(state.depots.addresses))
         tenant = state.tenants[limit.tenant] = TenantQueue(limit, turn)
     if limit.version >= tenant.limit.version:
         _update_limit(tenant, limit)
