--- a/libs/quotas/src/quotas/__init__.py
+++ b/libs/quotas/src/quotas/__init__.py
@@ -1,1 +1,2 @@
-"""Rate limits of tenants over all nodes: token buckets whose tokens are leased."""
+"""Tenants' rate limits over all nodes: token buckets at the log nodes (depots), leased to routing
+nodes (counters)."""
--- a/libs/quotas/src/quotas/bucket.py
+++ b/libs/quotas/src/quotas/bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket: pure functions over a frozen value."""
+"""A token bucket: pure functions over an immutable value."""
 
 from dataclasses import dataclass
 
 __all__ = ["Bucket", "draw", "refill", "resize", "whole_tokens", "ms_until_next"]
 
-# What rounding may take off a whole token.
+# Tolerance for rounding when whole tokens are counted.
 _ROUNDING = 1e-6
 _MAX_WAIT_MS = 60_000.0
 
 
 @dataclass(frozen=True)
 class Bucket:
-    """`tokens` were in it at `filled_ms`."""
+    """Held `tokens` tokens at `filled_ms`."""
 
     tokens: float
     filled_ms: float
@@ -20,14 +20,15 @@
 
 
 def refill(bucket, now_ms):
-    """The bucket as it is now; time never runs backwards."""
+    """The bucket as it is now; a clock that jumps back changes nothing."""
     elapsed_ms = max(0.0, now_ms - bucket.filled_ms)
     tokens = min(bucket.capacity, bucket.tokens + elapsed_ms * bucket.rate_per_ms)
     return Bucket(tokens, bucket.filled_ms + elapsed_ms, bucket.capacity, bucket.rate_per_ms)
 
 
 def resize(bucket, now_ms, capacity, rate_per_ms):
-    """Other terms from now on: tokens over the new capacity are lost, none are added."""
+    """The bucket with another capacity and rate from now on.  Tokens above the new capacity are
+    lost, none are added."""
     if (bucket.capacity, bucket.rate_per_ms) == (capacity, rate_per_ms):
         return refill(bucket, now_ms)
     before = refill(bucket, now_ms)
@@ -35,18 +36,18 @@
 
 
 def whole_tokens(bucket):
-    """How many whole tokens are in it."""
+    """The number of whole tokens in the bucket."""
     return int(bucket.tokens + _ROUNDING)
 
 
 def draw(bucket, count):
-    """The bucket after `count` tokens, at most the whole ones, were taken."""
+    """The bucket without `count` tokens, which must not exceed the whole ones."""
     left = max(0.0, bucket.tokens - count)
     return Bucket(left, bucket.filled_ms, bucket.capacity, bucket.rate_per_ms)
 
 
 def ms_until_next(bucket):
-    """When the next whole token will be there, counted from `filled_ms`; 0 if one is."""
+    """The milliseconds from `filled_ms` until there is a whole token; 0 if there is one."""
     missing = 1.0 - bucket.tokens
     if missing <= _ROUNDING:
         return 0.0
--- a/libs/quotas/src/quotas/demand.py
+++ b/libs/quotas/src/quotas/demand.py
@@ -1,4 +1,4 @@
-"""How densely requests of a tenant come in at one node."""
+"""The rate at which a tenant's requests come in at one node."""
 
 import math
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """Requests, fading with time."""
+    """A count of requests that decays exponentially."""
 
     requests: float = 0.0
     at_ms: float = 0.0
@@ -21,10 +21,10 @@
 
 
 def count(demand, now_ms):
-    """One more request has come in."""
+    """Count a request."""
     return Demand(_decayed(demand, now_ms) + 1.0, now_ms)
 
 
 def expected(demand, now_ms, span_ms):
-    """How many requests are expected within `span_ms`."""
+    """How many requests to expect within `span_ms`."""
     return _decayed(demand, now_ms) * span_ms / _DECAY_MS
--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -1,8 +1,8 @@
-"""Which depot a node asks for tokens: in turn, each node and tenant from another start.
+"""Chooses the depot (log node) that a node asks for tokens.
 
-A depot that hasn't answered, or may not grant, is passed over and asked now and then
-whether it grants again; were all of them so, they are tried all the same.  One that had
-too few tokens is left alone until it said that the next one comes.
+Depots take turns, and each node and tenant starts at another one.  A depot that hasn't answered,
+or may not grant, is passed over and probed from time to time; if none may grant, all are tried
+nevertheless.  A depot that had too few tokens isn't asked again until its next token is due.
 """
 
 import zlib
@@ -20,16 +20,16 @@
 __all__ += ["note_delay", "probes_due", "pass_over", "answer_timeout_ms", "start", "update"]
 
 _PROBE_INTERVAL_MS = 1000.0
-# For how long it counts what a depot said to have left.
+# How long a depot's report of its remaining tokens is used.
 _REPORT_VALID_MS = 1000.0
-# An ask may be unanswered for so many times as long as its depot's last answer took.
+# A request times out after this multiple of the time that the depot's last answer took.
 _TIMEOUT_PER_DELAY = 1.5
 _MAX_ANSWER_TIMEOUT_MS = 750.0
 
 
 @dataclass(frozen=True)
 class DepotReport:
-    """What a depot said of a tenant's bucket."""
+    """What a depot reported about a tenant's bucket."""
 
     at_ms: float
     tokens_left: float
@@ -38,8 +38,8 @@
 
 @dataclass
 class Depots:
-    """`away`: when to probe each depot that is passed over; `delays_ms`: how long the last
-    answer of each took."""
+    """The known depots.  `probe_at_ms`: when to probe each depot that is passed over; `delays_ms`:
+    how long the last answer of each took."""
 
     addresses: tuple = ()
     probe_at_ms: dict = field(default_factory=dict)
@@ -47,7 +47,7 @@
 
 
 def update(depots, addresses):
-    """Learn the depots of the present membership."""
+    """Take over the depots of the current membership."""
     available = tuple(sorted(addresses))
     if available == depots.addresses:
         return
@@ -57,12 +57,13 @@
 
 
 def start(node, tenant, number):
-    """Where a node begins with a tenant, so that the depots are drawn on evenly."""
+    """The index of the depot at which a node starts for a tenant, so that all depots are used
+    evenly."""
     return zlib.crc32(f"{node}|{tenant}".encode()) % max(1, number)
 
 
 def note_answer(depots, address, granting, now_ms):
-    """A depot has answered, and said whether it grants."""
+    """A depot has answered and said whether it grants tokens."""
     if granting:
         depots.probe_at_ms.pop(address, None)
     else:
@@ -70,13 +71,13 @@
 
 
 def note_delay(depots, address, delay_ms):
-    """A depot's answer has taken so long."""
+    """Note how long a depot's answer took."""
     depots.delays_ms[address] = delay_ms
 
 
 def answer_timeout_ms(depots, address, usual_ms):
-    """How long an ask may be unanswered until its depot counts as silent: longer for one
-    whose last answer came late, since asking others meanwhile draws more tokens."""
+    """How long to wait for a depot's answer.  A depot whose last answer was slow gets longer,
+    since asking others meanwhile would draw more tokens."""
     return max(
         usual_ms,
         min(_MAX_ANSWER_TIMEOUT_MS, _TIMEOUT_PER_DELAY * depots.delays_ms.get(address, 0.0)),
@@ -89,12 +90,12 @@
 
 
 def none_grants(depots):
-    """Whether no depot is known to grant."""
+    """Whether no depot is known to grant tokens."""
     return not [a for a in depots.addresses if a not in depots.probe_at_ms]
 
 
 def probes_due(depots, now_ms):
-    """The depots to be asked now whether they grant again."""
+    """The depots to probe now."""
     due = [a for a in depots.addresses if depots.probe_at_ms.get(a, now_ms + 1) <= now_ms]
     for address in due:
         depots.probe_at_ms[address] = now_ms + _PROBE_INTERVAL_MS
@@ -115,7 +116,7 @@
 
 
 def pick(available, reports, needed, now_ms):
-    """The first candidate that isn't known to have too few, or else the first."""
+    """The first candidate that isn't known to have too few tokens, or else the first."""
     for address in available:
         report = reports.get(address)
         if (
@@ -128,6 +129,6 @@
 
 
 def next_token_ms(depots, reports, now_ms):
-    """When the first of the depots that grant will have a token again."""
+    """When the first of the granting depots will have a token again."""
     ends_ms = [reports[a].empty_until_ms for a in depots.addresses if _is_empty(reports, a, now_ms)]
     return min(ends_ms, default=now_ms)
--- a/libs/quotas/src/quotas/grant_shares.py
+++ b/libs/quotas/src/quotas/grant_shares.py
@@ -1,16 +1,16 @@
-"""Which part of every budget a depot may give out, if any.
-
-The parts of all depots that grant at one time never make up more than the whole:
-
-- A depot grants while it is a member, by what it follows, and a majority's mark reached it
-  within `trust`.  One that was removed without knowing stops in that time.
-- A newcomer grants nothing for `trust` after it first saw itself among the members, in
-  each of its lives.  A founder waits for nothing, as nobody's place was given to it, unless
-  it saw a membership without itself before.  In the life in which it founded the group its
-  buckets are full: nothing was ever given out.
-- Fewer members mean a larger part, which one that was removed may still hold a piece of:
-  for `trust`, the largest membership seen counts.  One that has just started takes it that
-  the membership was larger by one before.
+"""Which part of each tenant's limit a depot (log node) may grant, if any.
+
+The parts of all depots that grant at the same time never exceed the whole:
+
+- A depot grants while it is a member by the log that it follows, and a heartbeat of a majority
+  reached it within the quorum timeout.  One that was removed without knowing it stops then.
+- After each start, a new member grants nothing for one quorum timeout after it first saw itself
+  among the members.  A founder doesn't wait, since it replaced nobody, unless it has seen a
+  membership without itself.  In the incarnation in which it founded the group its buckets are
+  full, since nothing has ever been granted.
+- Fewer members mean larger parts, but a removed member may still grant its old part: for one
+  quorum timeout, the largest membership seen counts.  A depot that has just restarted assumes
+  that the membership had one more member before.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Share:
-    """One part in `parts` of every budget, filled since `since_ms`."""
+    """One of `parts` equal parts of each limit, filled since `since_ms`."""
 
     parts: int
     since_ms: float
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class _MemberCount:
-    """How many members have to be counted, until `until_ms`."""
+    """The number of members to divide by until `until_ms`."""
 
     members: int
     until_ms: float
@@ -38,8 +38,9 @@
 
 @dataclass
 class GrantEligibility:
-    """`restarted`: this depot began its life with a group on its disk.  `depots`: how many
-    members there should be.  `removed`: it has seen a membership without itself in this life."""
+    """What decides a depot's share.  `restarted`: its storage held a group when it started.
+    `expected_members`: the configured size of the group.  `removed`: it has seen a membership
+    without itself since it started."""
 
     identity: str
     quorum_timeout_ms: float
@@ -52,8 +53,8 @@
 
 
 def observe(eligibility, now_ms, members, founders):
-    """Note the committed membership, as this depot follows it, and who founded the group,
-    all given as identities."""
+    """Note the committed membership that this depot follows, and the group's founders, all given
+    as identities."""
     members = frozenset(members)
     if not members:
         return
@@ -67,14 +68,16 @@
 
 
 def _since_ms(eligibility, now_ms, founders):
+    """From when on this depot may grant, now that it is a member."""
     if eligibility.removed or eligibility.identity not in founders:
         return now_ms + eligibility.quorum_timeout_ms
     return now_ms if eligibility.restarted else _ALWAYS_MS
 
 
 def _members_to_count(eligibility, after):
-    """The members to be counted after a change; one that was seen only in part counts all
-    of them, and one that may have been before a restart as if there had been one more."""
+    """The number of members to count after a change.  After a change of several members at once,
+    all of both memberships count; before the first membership is known, the configured size
+    counts, plus one after a restart."""
     before = eligibility.members
     if not before:
         return eligibility.expected_members + eligibility.restarted
@@ -84,6 +87,7 @@
 
 
 def _remember_count(eligibility, now_ms, members):
+    """Count so many members for one quorum timeout."""
     eligibility.past_counts = [
         count for count in eligibility.past_counts if count.until_ms > now_ms
     ]
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -1,7 +1,8 @@
-"""The depot's side: its part of every tenant's bucket, and what it gives out of it.
+"""The granting side at a depot (log node): its part of each tenant's bucket, leased to other
+nodes.
 
-Nothing is durable.  A bucket that is seen for the first time holds what would have been
-filled in since this depot may grant, so one that was dropped while full loses nothing.
+Nothing is stored durably.  A new bucket holds what would have been filled in since this depot may
+grant, so a bucket that is dropped while full loses nothing.
 """
 
 from dataclasses import dataclass, field
@@ -14,20 +15,21 @@
 
 __all__ = ["GrantingState", "TenantBucket", "on_request"]
 
-# Half a kilobyte each.
+# Each takes about half a kilobyte.
 _MAX_BUCKETS = 1 << 14
-# How often buckets are looked through for some to drop.
+# The shortest time between two searches for buckets that can be dropped.
 _CLEANUP_INTERVAL_MS = 1000.0
-# Tokens are leased ahead only out of what lies above this part of a bucket.
+# Tokens are leased ahead of demand only while the bucket holds more than this fraction.
 _RESERVED_FRACTION = 0.5
-# How far asks that find nothing are spread over the tokens to come.
+# The longest wait that is suggested to requests that found no token.
 _MAX_QUEUE_MS = 500.0
 
 
 @dataclass
 class TenantBucket:
-    """This depot's bucket for a tenant, by the highest version of the limit it was told.
-    `queue_ms`: when the token comes that an ask which found nothing may come back for."""
+    """This depot's bucket for a tenant, for the newest version of the limit that it has seen.
+    `next_queued_ms`: when the next token comes that isn't promised yet to a request that found
+    none."""
 
     limit: quota_settings.RateLimit
     bucket: buckets.Bucket
@@ -38,8 +40,8 @@
 
 @dataclass
 class GrantingState:
-    """`share`: the part of every budget that the buckets are made for; `looked_ms`: when
-    buckets to drop were last looked for."""
+    """`share`: the part of each limit for which the buckets are sized; `last_cleanup_ms`: when
+    buckets to drop were last searched for."""
 
     settings: quota_settings.QuotaSettings
     share: grant_shares.Share | None = None
@@ -59,7 +61,8 @@
 
 
 def _apply_share(state, now_ms, share):
-    """Another part from now on; none of what was held before this depot joined anew."""
+    """Resize the buckets for another share.  Buckets from before this depot joined anew are
+    dropped."""
     if state.share is not None and share.since_ms != state.share.since_ms:
         state.tenants.clear()
     state.share = share
@@ -69,6 +72,8 @@
 
 
 def _grant(state, now_ms, want, share):
+    """The QuotaGiven for one tenant: tokens for waiting requests first, then some ahead of
+    demand."""
     held = _current_bucket(state, now_ms, want, share)
     if held is None:
         return QuotaGiven(0, 0.0, _MAX_QUEUE_MS)
@@ -86,7 +91,8 @@
 
 
 def _schedule_return(held, now_ms, count):
-    """When to come back: the asks that find nothing are spread over the tokens to come."""
+    """The wait until the next token for a request that found none; such requests are spread over
+    the tokens to come."""
     next_ms = now_ms + buckets.ms_until_next(held.bucket)
     latest_ms = max(next_ms, now_ms + _MAX_QUEUE_MS)
     return_ms = min(max(held.next_queued_ms, next_ms), latest_ms)
@@ -109,19 +115,21 @@
 
 
 def _new_bucket(state, now_ms, limit, share):
+    """A bucket filled since this depot may grant."""
     capacity, rate_per_ms = _own_part(state.settings, limit, share)
     empty = buckets.Bucket(0.0, min(now_ms, share.since_ms), capacity, rate_per_ms)
     return TenantBucket(limit, buckets.refill(empty, now_ms))
 
 
 def _own_part(settings, limit, share):
-    """This depot's part of a limit: (capacity, rate a ms).  A token fits in any bucket."""
+    """This depot's part of a limit: (capacity, tokens per ms).  The capacity is at least one
+    token."""
     capacity = max(1.0, quota_settings.bucket_capacity(settings, limit.burst) / share.parts)
     return capacity, limit.rate_per_s / 1000 / share.parts
 
 
 def _make_room(state, now_ms):
-    """Drop what may be dropped, unless that was done just before; say whether there was any."""
+    """Drop full buckets, unless that was tried just before; returns whether there were any."""
     if now_ms - state.last_cleanup_ms < _CLEANUP_INTERVAL_MS:
         return False
     state.last_cleanup_ms = now_ms
@@ -129,7 +137,8 @@
 
 
 def _drop_full_buckets(state, now_ms):
-    """Drop the full buckets, which are the same when made anew; say whether there were any."""
+    """Drop the full buckets, which would be full again when made anew; returns whether there were
+    any."""
     full = [name for name, held in state.tenants.items() if _is_full(held, now_ms)]
     for name in full:
         del state.tenants[name]
--- a/libs/quotas/src/quotas/settings.py
+++ b/libs/quotas/src/quotas/settings.py
@@ -1,8 +1,8 @@
-"""The promise about tenants' limits, and what follows from it.
+"""The guarantee on tenants' rate limits, and the quantities derived from it.
 
-Over every window, the requests of a tenant that are sent and run in it number at most
+In each window, the requests of a tenant that are both sent and run in it number at most
 (rate x window + burst) x (1 + overrun) + allowance.  Half of the overrun and of the
-allowance is a margin; the rest pays for leases and makes the buckets larger.
+allowance is a margin; the other half covers leases and larger buckets.
 """
 
 from dataclasses import dataclass
@@ -14,8 +14,9 @@
 
 @dataclass(frozen=True)
 class QuotaSettings:
-    """`trust_ms`: how long a depot goes on granting after the last mark of a majority, and
-    how long a newcomer waits.  `silent_ms`: how long an ask may be unanswered."""
+    """`quorum_timeout_ms`: how long a depot goes on granting after the last heartbeat of a
+    majority, and how long a new member waits.  `answer_timeout_ms`: how long a node waits for a
+    depot."""
 
     window_ms: float
     overrun: float
@@ -35,12 +36,12 @@
 
 
 def lease_ms(settings):
-    """How long leased tokens may be spent, counted from before they were asked for."""
+    """How long leased tokens may be spent, counted from before they were requested."""
     return max(_MIN_LEASE_MS, settings.overrun * settings.window_ms / 2)
 
 
 def bucket_capacity(settings, burst):
-    """The size of a tenant's bucket, over all depots."""
+    """The capacity of a tenant's bucket, over all depots."""
     return burst + (settings.overrun * burst + settings.allowance) / 2
 
 
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -1,10 +1,10 @@
-"""The side of the node that lets requests in: tokens asked for, leased and spent.
+"""The spending side at a node that admits requests: tokens are requested, leased and spent.
 
-A request takes a token that is leased here already, or waits in its tenant's line while a
-depot is asked.  It is refused once every depot that grants is known to have none.  A
-lease ends on this node's own clock, counted from before its ask was sent, so neither a
-late answer nor a node that was frozen makes it longer.  Only a request that had come in
-before the ask was sent may have its tokens later: they were given while it waited.
+A request takes a token that is already leased here, or waits in its tenant's queue while a depot
+is asked.  It is refused once all granting depots are known to have no token.  A lease ends on this
+node's own clock, counted from before its request was sent, so neither a late answer nor a pause of
+this node extends it.  Only requests that had arrived before the lease was requested may use its
+tokens later: they were granted while those requests waited.
 """
 
 from collections import deque
@@ -38,7 +38,7 @@
 ]
 __all__ += ["advance", "cancel", "on_grant", "request_token"]
 
-# From so many requests a lease on, tokens are leased ahead.
+# Tokens are leased ahead of demand from this many expected requests per lease on.
 _LEASE_AHEAD_MIN = 2.0
 
 
@@ -56,7 +56,7 @@
 
 
 def cancel(state, token):
-    """A request that waited is over: no token is spent on it."""
+    """A waiting request is over; no token is spent on it."""
     for name in list(state.queued):
         tenant = state.tenants[name]
         if any(waiting.token == token for waiting in tenant.queue):
@@ -66,8 +66,8 @@
 
 
 def on_grant(state, now_ms, sender, grant):
-    """A depot has answered.  What was answered before, or is from before this life, adds
-    nothing; what comes late is leased until the end that it had from the start."""
+    """A depot has answered.  A second answer, or one from before a restart of this node, adds
+    nothing; a late one is leased until the end that was set when it was requested."""
     depot_choice.note_answer(state.depots, sender, grant.granting, now_ms)
     sent = state.sent.pop(grant.number, None)
     if sent is None:
@@ -87,17 +87,19 @@
 
 
 def _lease_end_ms(state, sent):
+    """When the tokens of a request's answer expire."""
     return sent.sent_ms + quota_settings.lease_ms(state.settings)
 
 
 def advance(state, now_ms):
-    """What is decided by now of the requests in line, and the asks to be sent at once."""
+    """(decisions on waiting requests, requests to send to depots) as of now."""
     _time_out_requests(state, now_ms)
     decisions = _decide(state, now_ms)
     return decisions, _probe_requests(state, now_ms) + _requests_due(state, now_ms)
 
 
 def _tenant_queue(state, limit):
+    """The tenant's queue, with the newest version of its limit."""
     tenant = state.tenants.get(limit.tenant)
     if tenant is None:
         turn = depot_choice.start(state.node, limit.tenant, len(state.depots.addresses))
@@ -108,7 +110,7 @@
 
 
 def _update_limit(tenant, limit):
-    """What depots said of another rate or burst tells nothing of when tokens come now."""
+    """Set the limit.  Reports of depots on another rate or burst are useless from now on."""
     if not _has_same_rate(tenant.limit, limit.rate_per_s, limit.burst):
         tenant.reports.clear()
     tenant.limit = limit
@@ -119,8 +121,8 @@
 
 
 def _spend(tenant, now_ms, arrived_ms):
-    """Spend a token of the lease that ends first on a request that came in at `came_ms`, if
-    there is one for it."""
+    """Spend a token of the lease that ends first on a request that arrived at `arrived_ms`;
+    returns whether there was one."""
     tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_usable(tenant, x, now_ms)]
     found = [x for x in tenant.leases if _is_valid(x, now_ms) or arrived_ms <= x.requested_ms]
     if not found:
@@ -139,25 +141,27 @@
 
 
 def _has_request_since(tenant, requested_ms):
-    """Whether a request is in line that had come in when an ask was sent at `asked_ms`."""
+    """Whether a queued request had already arrived at `requested_ms`."""
     return bool(tenant.queue) and tenant.queue[0].arrived_ms <= requested_ms
 
 
 def _exhausted(state, tenant, now_ms):
-    """Whether there are depots that grant, and all of them said that they have no token."""
+    """Whether there are granting depots, and all of them reported that they have no token."""
     if tenant.tokens_requested or depot_choice.none_grants(state.depots):
         return False
     return not depot_choice.candidates(state.depots, tenant.reports, tenant.turn, now_ms)
 
 
 def _refuse(state, tenant, now_ms):
+    """Refuse a request until the next token is due."""
     tenant.refused += 1
     next_ms = depot_choice.next_token_ms(state.depots, tenant.reports, now_ms)
     return Refused(max(1.0, next_ms - now_ms))
 
 
 def _time_out_requests(state, now_ms):
-    """Asks that are unanswered for too long: their depots are passed over."""
+    """Pass over depots that haven't answered in time, and forget requests whose answer would be
+    useless."""
     for number, sent in list(state.sent.items()):
         timeout_ms = depot_choice.answer_timeout_ms(
             state.depots, sent.to, state.settings.answer_timeout_ms
@@ -171,13 +175,14 @@
 
 
 def _is_useless_by_now(state, sent, now_ms):
-    """Whether nothing can be spent any more of what an ask may still bring."""
+    """Whether no token of a late answer could be spent any more."""
     if now_ms < _lease_end_ms(state, sent):
         return False
     return not any(_has_request_since(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
 
 
 def _stop_counting(state, sent):
+    """Tokens that are no longer expected from a request that ended."""
     if not sent.timed_out:
         _subtract_requested(state, sent)
 
@@ -188,6 +193,7 @@
 
 
 def _decide(state, now_ms):
+    """Admit or refuse queued requests as far as that can be decided now."""
     decisions = []
     for name in sorted(state.queued):
         tenant = state.tenants[name]
@@ -208,7 +214,7 @@
 
 
 def _requests_due(state, now_ms):
-    """One ask for each depot that is asked for anything now."""
+    """One request to each depot that is asked for tokens now."""
     wants: dict[str, list[QuotaWant]] = {}
     for name in sorted(state.queued):
         tenant = state.tenants[name]
@@ -228,12 +234,13 @@
 
 
 def _must_pause(state, tenant, now_ms):
-    """While no depot grants, they are tried one after another at some distance."""
+    """While no depot grants, they are tried one after another with a pause in between."""
     all_away = depot_choice.none_grants(state.depots)
     return all_away and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
 
 
 def _want(state, tenant, now_ms, needed):
+    """The tokens to request for a tenant: those needed now, and some ahead of demand."""
     limit = tenant.limit
     expected = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.settings))
     ahead = int(expected) if expected >= _LEASE_AHEAD_MIN else 0
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -1,4 +1,4 @@
-"""What a node that lets requests in keeps of its tenants, and what it decides."""
+"""The state and the decisions of a node that spends leased tokens."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True)
 class Granted:
-    """The request may go on."""
+    """The request is admitted."""
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The request is over its tenant's limit."""
+    """The request exceeds its tenant's limit; a token is due in `retry_ms`."""
 
     retry_ms: float
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """What has become of a request that waited; `token` is its own."""
+    """The outcome of a request that waited; `token` identifies the request."""
 
     token: str
     outcome: Granted | Refused
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class LeaseRequest:
-    """An ask to be sent to a depot."""
+    """A request for tokens, to be sent to a depot."""
 
     to: str
     ask: QuotaAsk
@@ -48,8 +48,8 @@
 
 @dataclass
 class Lease:
-    """Tokens that may be spent until `end_ms`, or by requests that had come in at
-    `asked_ms`, when they were asked for."""
+    """Tokens that may be spent until `end_ms`, or later by requests that had arrived at
+    `requested_ms`, when the lease was requested."""
 
     tokens: int
     end_ms: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class WaitingRequest:
-    """A request in line, which came in at `came_ms`."""
+    """A queued request; `token` identifies it."""
 
     token: str
     arrived_ms: float
@@ -66,8 +66,8 @@
 
 @dataclass
 class SentRequest:
-    """An ask under way; one that is given up may still be answered within its lease, or
-    while a request waits that it was sent for."""
+    """A request for tokens that is in flight.  If it has timed out, its answer still counts until
+    the lease would end, or while a request waits for which it was sent."""
 
     to: str
     sent_ms: float
@@ -77,8 +77,8 @@
 
 @dataclass
 class TenantQueue:
-    """A tenant at this node.  `asked`: tokens that asks under way are to bring to the line;
-    `asked_ms`: when the last one was sent."""
+    """A tenant at this node.  `tokens_requested`: tokens in flight for queued requests;
+    `last_request_ms`: when the last request for them was sent."""
 
     limit: quota_settings.RateLimit
     turn: int
@@ -95,8 +95,8 @@
 
 @dataclass
 class SpendingState:
-    """`number`: that of the last ask, begun anywhere, so that what was meant for an earlier
-    life of this node is told apart."""
+    """`number` is that of the last request for tokens.  It starts at a random number, so that
+    answers to an earlier incarnation of this node don't match."""
 
     node: str
     settings: quota_settings.QuotaSettings
