--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -182,7 +182,7 @@
 
 
 def _stop_counting(state, sent):
-    """Tokens that are no longer expected from a request that ended."""
+    """Stop counting the tokens expected from a request that was answered."""
     if not sent.timed_out:
         _subtract_requested(state, sent)
 
@@ -235,8 +235,8 @@
 
 def _must_pause(state, tenant, now_ms):
     """While no depot grants, they are tried one after another with a pause in between."""
-    all_away = depot_choice.none_grants(state.depots)
-    return all_away and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
+    none_grants = depot_choice.none_grants(state.depots)
+    return none_grants and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
 
 
 def _want(state, tenant, now_ms, needed):
