--- a/tests/quota_troubles.py
+++ b/tests/quota_faults.py
@@ -24,41 +24,41 @@
     return World(seed, tenants(hot), counters).run(DAY_MS)
 
 
-def troubled_day(seed):
+def faulty_day(seed):
     """Everything at once: no two troubles know of one another."""
     rng = random.Random(f"troubles {seed}")
     depots = rng.choice([3, 5])
     world = World(seed, tenants(), 12, depots)
-    world.late, world.doubled = rng.choice([0, 0.01, 0.1]), rng.choice([0, 0.02, 0.2])
-    for trouble in _TROUBLES:
+    world.late, world.duplicated = rng.choice([0, 0.01, 0.1]), rng.choice([0, 0.02, 0.2])
+    for fault in _FAULTS:
         for _ in range(rng.choice([0, 1, 1, 2])):
-            trouble(world, rng)
+            fault(world, rng)
     if rng.random() < 0.7:
-        rng.choice([_replacement, _other_number])(world, rng)
+        rng.choice([_replaced_member, _resized_group])(world, rng)
     return world.run(DAY_MS)
 
 
-def _restart(world, rng):
+def _restarted_depot(world, rng):
     name, at_ms = _depot(world, rng), rng.uniform(3000, 20_000)
     world.at(at_ms, world.stop_depot, name)
     world.at(at_ms + rng.choice([50, 500, 4000]), world.restart_depot, name)
 
 
-def _loss(world, rng):
+def _lost_depot(world, rng):
     world.at(rng.uniform(3000, 25_000), world.stop_depot, _depot(world, rng))
 
 
-def _frozen_counters(world, rng):
+def _paused_nodes(world, rng):
     for _ in range(4):
         name = rng.choice(sorted(world.counters))
-        world.at(rng.uniform(3000, 22_000), world.freeze, name, rng.uniform(50, 6000))
+        world.at(rng.uniform(3000, 22_000), world.pause, name, rng.uniform(50, 6000))
 
 
-def _frozen_depot(world, rng):
-    world.at(rng.uniform(3000, 20_000), world.freeze, _depot(world, rng), rng.uniform(50, 8000))
+def _paused_depot(world, rng):
+    world.at(rng.uniform(3000, 20_000), world.pause, _depot(world, rng), rng.uniform(50, 8000))
 
 
-def _cut(world, rng):
+def _partition(world, rng):
     """Some nodes and depots can't hear one another, in one direction or both."""
     counters = rng.sample(sorted(world.counters), 6)
     depots = rng.sample(sorted(world.depots), rng.randrange(1, len(world.depots) + 1))
@@ -68,38 +68,38 @@
     world.at(rng.uniform(3000, 20_000), world.cut_links, links, rng.uniform(500, 9000))
 
 
-def _limits(world, rng):
+def _changed_limits(world, rng):
     name = rng.choice(["hot0", "hot1"])
     for version, at_ms in ((2, rng.uniform(4000, 10_000)), (3, rng.uniform(10_000, 22_000))):
         limit = RateLimit(name, version, rng.choice([10, 20, 80]), rng.choice([2, 30]))
         world.tenants[name].limits.append((at_ms, limit))
 
 
-def _replacement(world, rng):
+def _replaced_member(world, rng):
     """A depot is cut off from the group and goes on granting; it is removed, and a
     successor takes its place."""
     gone, at_ms = _depot(world, rng), rng.uniform(3000, 12_000)
-    left = [name for name in world.depots if name != gone]
+    remaining = [name for name in world.depots if name != gone]
     world.at(at_ms, world.cut_off_group.add, gone)
-    world.at(at_ms + rng.uniform(0, 2500), world.set_members, *left)
-    world.at(at_ms + rng.uniform(2600, 5000), world.set_members, *left, "new")
+    world.at(at_ms + rng.uniform(0, 2500), world.set_members, *remaining)
+    world.at(at_ms + rng.uniform(2600, 5000), world.set_members, *remaining, "new")
 
 
-def _other_number(world, rng):
+def _resized_group(world, rng):
     """The group grows and shrinks; one that goes may not know it."""
     names = sorted(world.depots)
-    more = names + [f"n{number}" for number in range(5 - len(names))]
+    larger = names + [f"n{number}" for number in range(5 - len(names))]
     first, second = sorted(rng.uniform(3000, 16_000) for _ in range(2))
-    world.at(first, world.set_members, *names, *more[len(names) : len(names) + 1])
-    world.at(first + 900, world.set_members, *more)
-    fewer = [name for name in more if name != names[0]]
+    world.at(first, world.set_members, *names, *larger[len(names) : len(names) + 1])
+    world.at(first + 900, world.set_members, *larger)
+    smaller = [name for name in larger if name != names[0]]
     if rng.random() < 0.5:
         world.at(second + 900, world.cut_off_group.add, names[0])
-    world.at(second + 1000, world.set_members, *fewer)
+    world.at(second + 1000, world.set_members, *smaller)
 
 
 def _depot(world, rng):
     return rng.choice(sorted(world.depots))
 
 
-_TROUBLES = (_restart, _loss, _frozen_counters, _frozen_depot, _cut, _limits)
+_FAULTS = (_restarted_depot, _lost_depot, _paused_nodes, _paused_depot, _partition, _changed_limits)
--- a/tests/quota_records.py
+++ b/tests/quota_records.py
@@ -4,7 +4,7 @@
 
 from quotas.settings import QuotaSettings, RateLimit, max_requests
 
-TERMS = QuotaSettings(5000.0, 0.1, 20.0, 6000.0, 120.0)
+SETTINGS = QuotaSettings(5000.0, 0.1, 20.0, 6000.0, 120.0)
 # How long a change of a limit may take until all nodes follow it.
 SETTLED_MS = 2500.0
 
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -12,11 +12,11 @@
 import random
 from dataclasses import dataclass, field
 
-from quota_records import TERMS, Request, worst_window
+from quota_records import SETTINGS, Request, worst_window
 from quotas import grant_shares, granting, spending
 
 TICK_MS = 50.0
-MARK_EVERY_MS = 300.0
+HEARTBEAT_INTERVAL_MS = 300.0
 PATIENCE_MS = 2000.0
 
 
@@ -24,32 +24,32 @@
 class Counter:
     spending: spending.SpendingState
     waiting: dict = field(default_factory=dict)
-    frozen_until_ms: float = 0.0
+    paused_until_ms: float = 0.0
     limits_held: bool = False
 
 
 @dataclass
 class Depot:
     identity: str
-    standing: grant_shares.GrantEligibility
+    eligibility: grant_shares.GrantEligibility
     granting: granting.GrantingState
     members: frozenset = frozenset()
-    mark_ms: float = -1e12
-    frozen_until_ms: float = 0.0
+    last_heartbeat_ms: float = -1e12
+    paused_until_ms: float = 0.0
     alive: bool = True
     life: int = 0
 
 
 class World:
-    def __init__(self, seed, tenants, counters=12, depots=5, terms=TERMS):
+    def __init__(self, seed, tenants, counters=12, depots=5, settings=SETTINGS):
         self.random = random.Random(seed)
-        self.terms, self.tenants = terms, tenants
+        self.settings, self.tenants = settings, tenants
         self.now_ms, self._heap, self._count = 0.0, [], 0
         self.cut = set()
         self.cut_off_group = set()
-        self.late = self.doubled = 0.0
+        self.late = self.duplicated = 0.0
         self.late_ms = 2000.0
-        self.held_up = (0.0, 0.0)
+        self.delivery_pause = (0.0, 0.0)
         self.asks_all_depots = False
         self.messages = 0
         self.requests = []
@@ -57,31 +57,31 @@
         self.depots = {}
         self.members = self.founders = frozenset(f"d{n}" for n in range(depots))
         for name in sorted(self.members):
-            self._begin_depot(name)
+            self._start_depot(name)
         self.counters = {}
         for n in range(counters):
             name = f"c{n}"
-            state = spending.SpendingState(name, terms, self.random.randrange(1 << 40))
+            state = spending.SpendingState(name, settings, self.random.randrange(1 << 40))
             self.counters[name] = Counter(state)
-            self._learn(name, self.members)
+            self._learn_members(name, self.members)
             self.at(self.random.uniform(0, TICK_MS), self._tick, name)
 
     # --- time
 
-    def at(self, when_ms, do, *facts):
+    def at(self, when_ms, action, *args):
         self._count += 1
-        heapq.heappush(self._heap, (when_ms, self._count, do, facts))
+        heapq.heappush(self._heap, (when_ms, self._count, action, args))
 
-    def after(self, delay_ms, do, *facts):
-        self.at(self.now_ms + delay_ms, do, *facts)
+    def after(self, delay_ms, action, *args):
+        self.at(self.now_ms + delay_ms, action, *args)
 
     def run(self, until_ms):
         self._until_ms = until_ms
         for name in self.tenants:
             self.at(2000.0, self._client, name)
         while self._heap and self._heap[0][0] <= until_ms + 2 * PATIENCE_MS:
-            self.now_ms, _, do, facts = heapq.heappop(self._heap)
-            do(*facts)
+            self.now_ms, _, action, args = heapq.heappop(self._heap)
+            action(*args)
         return self
 
     # --- clients
@@ -102,8 +102,8 @@
 
     def _arrive(self, request, number):
         counter = self.counters[request.counter]
-        if counter.frozen_until_ms > self.now_ms:
-            return self.at(counter.frozen_until_ms, self._arrive, request, number)
+        if counter.paused_until_ms > self.now_ms:
+            return self.at(counter.paused_until_ms, self._arrive, request, number)
         known_ms = self.now_ms - (1e12 if counter.limits_held else 800.0)
         limit = self.tenants[request.tenant].limit(max(0.0, known_ms))
         token = str(number)
@@ -132,8 +132,8 @@
 
     def _tick(self, name):
         counter = self.counters[name]
-        if counter.frozen_until_ms > self.now_ms:
-            return self.at(counter.frozen_until_ms, self._tick, name)
+        if counter.paused_until_ms > self.now_ms:
+            return self.at(counter.paused_until_ms, self._tick, name)
         self._advance(name)
         self.after(TICK_MS, self._tick, name)
 
@@ -145,21 +145,24 @@
         for asking in asks:
             self._send(name, asking.to, asking.ask)
 
-    def _learn(self, name, members):
+    def _learn_members(self, name, members):
         known = self.depots if self.asks_all_depots else members
         spending.depot_choice.update(self.counters[name].spending.depots, known)
 
     # --- the network
 
     def _send(self, sender, to, message):
-        copies = 2 if self.random.random() < self.doubled else 1
+        copies = 2 if self.random.random() < self.duplicated else 1
         for _ in range(copies):
             self.messages += 1
             delay_ms = self.random.uniform(0.3, 0.9)
             if self.random.random() < self.late:
                 delay_ms += self.random.uniform(20.0, self.late_ms)
-            if to in self.counters and self.held_up[0] <= self.now_ms < self.held_up[1]:
-                delay_ms = self.held_up[1] - self.now_ms
+            if (
+                to in self.counters
+                and self.delivery_pause[0] <= self.now_ms < self.delivery_pause[1]
+            ):
+                delay_ms = self.delivery_pause[1] - self.now_ms
             self.after(delay_ms, self._deliver, sender, to, message)
 
     def _deliver(self, sender, to, message):
@@ -168,69 +171,77 @@
         node = self.counters.get(to) or self.depots.get(to)
         if node is None or not getattr(node, "alive", True):
             return
-        if node.frozen_until_ms > self.now_ms:
-            return self.at(node.frozen_until_ms, self._deliver, sender, to, message)
+        if node.paused_until_ms > self.now_ms:
+            return self.at(node.paused_until_ms, self._deliver, sender, to, message)
         if to in self.counters:
             spending.on_grant(node.spending, self.now_ms, sender, message)
             return self._advance(to)
         self._observe(node)
-        share = grant_shares.current_share(node.standing, self.now_ms, self.now_ms - node.mark_ms)
+        share = grant_shares.current_share(
+            node.eligibility, self.now_ms, self.now_ms - node.last_heartbeat_ms
+        )
         self._send(to, sender, granting.on_request(node.granting, self.now_ms, message, share))
 
     # --- depots and their group
 
-    def _begin_depot(self, name, restarted=False):
+    def _start_depot(self, name, restarted=False):
         life = self.depots[name].life + 1 if name in self.depots else 0
-        stands = grant_shares.GrantEligibility(
-            name, self.terms.quorum_timeout_ms, self.depots_wanted, restarted
+        eligibility = grant_shares.GrantEligibility(
+            name, self.settings.quorum_timeout_ms, self.depots_wanted, restarted
+        )
+        self.depots[name] = Depot(
+            name, eligibility, granting.GrantingState(self.settings), life=life
         )
-        self.depots[name] = Depot(name, stands, granting.GrantingState(self.terms), life=life)
-        self.after(self.random.uniform(0, MARK_EVERY_MS), self._mark, name, life)
+        self.after(self.random.uniform(0, HEARTBEAT_INTERVAL_MS), self._send_heartbeat, name, life)
 
-    def _mark(self, name, life):
+    def _send_heartbeat(self, name, life):
         """Ask the group for a mark, and have it a little later."""
         depot = self.depots[name]
         if depot.life != life or not depot.alive:
             return
-        if depot.frozen_until_ms > self.now_ms:
-            return self.at(depot.frozen_until_ms, self._mark, name, life)
+        if depot.paused_until_ms > self.now_ms:
+            return self.at(depot.paused_until_ms, self._send_heartbeat, name, life)
         if name not in self.cut_off_group:
-            self.after(self.random.uniform(1, 4), self._confirm, name, life, self.now_ms)
-        self.after(MARK_EVERY_MS, self._mark, name, life)
+            self.after(self.random.uniform(1, 4), self._confirm_heartbeat, name, life, self.now_ms)
+        self.after(HEARTBEAT_INTERVAL_MS, self._send_heartbeat, name, life)
 
-    def _confirm(self, name, life, sent_ms):
-        self.after(self.random.uniform(1, 4), self._marked, name, life, sent_ms, self.members)
+    def _confirm_heartbeat(self, name, life, sent_ms):
+        self.after(
+            self.random.uniform(1, 4), self._heartbeat_confirmed, name, life, sent_ms, self.members
+        )
 
-    def _marked(self, name, life, sent_ms, members):
+    def _heartbeat_confirmed(self, name, life, sent_ms, members):
         depot = self.depots[name]
         if depot.life != life:
             return
-        if depot.frozen_until_ms > self.now_ms:
-            return self.at(depot.frozen_until_ms, self._marked, name, life, sent_ms, members)
-        depot.members, depot.mark_ms = members, sent_ms
+        if depot.paused_until_ms > self.now_ms:
+            return self.at(
+                depot.paused_until_ms, self._heartbeat_confirmed, name, life, sent_ms, members
+            )
+        depot.members, depot.last_heartbeat_ms = members, sent_ms
         self._observe(depot)
 
     def _observe(self, depot):
-        grant_shares.observe(depot.standing, self.now_ms, depot.members, self.founders)
+        grant_shares.observe(depot.eligibility, self.now_ms, depot.members, self.founders)
 
     def set_members(self, *names):
         """A membership is committed; newcomers begin, and counters learn of it in a while."""
         for name in names:
             if name not in self.depots:
-                self._begin_depot(name)
+                self._start_depot(name)
         self.members = frozenset(names)
         for counter in self.counters:
-            self.after(self.random.uniform(5, 1500), self._learn, counter, self.members)
+            self.after(self.random.uniform(5, 1500), self._learn_members, counter, self.members)
 
     def stop_depot(self, name):
         self.depots[name].alive = False
 
     def restart_depot(self, name):
-        self._begin_depot(name, restarted=True)
+        self._start_depot(name, restarted=True)
 
-    def freeze(self, name, span_ms):
+    def pause(self, name, span_ms):
         node = self.counters.get(name) or self.depots[name]
-        node.frozen_until_ms = self.now_ms + span_ms
+        node.paused_until_ms = self.now_ms + span_ms
 
     def cut_links(self, links, span_ms):
         self.cut |= set(links)
@@ -241,7 +252,7 @@
     def worst(self, tenant):
         """(requests run over the bound, requests run, the bound) in the worst window."""
         runs = [r for r in self.requests if r.tenant == tenant and r.outcome == "run"]
-        return worst_window(runs, self.tenants[tenant], self.terms)
+        return worst_window(runs, self.tenants[tenant], self.settings)
 
     def broken(self):
         """The tenants that got more than their bound in some window."""
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -18,14 +18,14 @@
 
 NOW_MS = 50_000.0
 BOUND_MS = 2500
-CREW = choice.RoutingNodes("c0", ("c0",), "z")
+NODES = choice.RoutingNodes("c0", ("c0",), "z")
 ENGINES = 9
 TRIES = 3
 ROUTE_RANK = 5
 MODEL = "m1"
 HOST = "h.example"
 OPEN, CLOSED = "/open/", "/closed/"
-TERMS = router.RoutingSettings(
+SETTINGS = router.RoutingSettings(
     staleMs=float("inf"),
     ramp_ms=1.0,
     pauseMs=100.0,
@@ -71,10 +71,10 @@
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
             follow=follower.Follow(current_ms=NOW_MS - age_ms),
             floor=floors.Floor(SHARDS, registry=registry),
-            router=router.Router(TERMS),
+            router=router.Router(SETTINGS),
             times=SimpleNamespace(elect_ms=300.0),
         )
-        self._stamp, self.told = 0, {}
+        self._stamp, self.requests = 0, {}
         self.configure(tenants or {})
         self.load(loaded)
 
@@ -86,7 +86,7 @@
         record = {"k": "layout", "partner": written.OWNER, "section": section}
         record["stamp"] = self._stamp
         registries.apply(self.node.floor.registry, json.dumps(record).encode())
-        return self._wake()
+        return self._retry_waiting()
 
     def load(self, loaded):
         """The engines have the model, or none has it."""
@@ -97,15 +97,15 @@
             ledgers.apply(ledger, record)
             state = "loaded" if loaded else "gone"
             ledgers.apply(ledger, ledgers.state_record(engine, MODEL, f"o{engine}", state))
-        return self._wake()
+        return self._retry_waiting()
 
-    def _wake(self):
+    def _retry_waiting(self):
         node = self.node
-        return _outcomes(router.retry_waiting(node.router, self.now_ms, node.floor, 0.0, CREW))
+        return _outcomes(router.retry_waiting(node.router, self.now_ms, node.floor, 0.0, NODES))
 
     def send(self, token, key, prefix=CLOSED):
         """A request comes in with a key, as bytes."""
-        told = {
+        request = {
             "id": token,
             "host": HOST,
             "path": prefix + "x",
@@ -116,20 +116,20 @@
             "deadlineMs": 20_000,
             "key": key,
         }
-        self.told[token] = told
-        return _outcomes(passages.begin(self.node, self.now_ms, token, told, CREW))
+        self.requests[token] = request
+        return _outcomes(passages.begin(self.node, self.now_ms, token, request, NODES))
 
-    def fails(self, token, proof):
+    def attempt_failed(self, token, proof):
         """An attempt of a request ended without an answer."""
         node = self.node
-        effects = router.ended(node.router, self.now_ms, node.floor, 0.0, CREW, token, proof)
+        effects = router.ended(node.router, self.now_ms, node.floor, 0.0, NODES, token, proof)
         return _outcomes(effects)
 
     def silent(self, token):
         """An attempt of a request has had no answer for long."""
         node = self.node
         return _outcomes(
-            router.attempt_silent(node.router, self.now_ms, node.floor, 0.0, CREW, token)
+            router.attempt_silent(node.router, self.now_ms, node.floor, 0.0, NODES, token)
         )
 
     def task(self, token):
@@ -140,9 +140,9 @@
     return {e.token: e.outcome for e in effects if isinstance(e, Reply)}
 
 
-def words(outcome):
+def outcome_in_short(outcome):
     """An outcome in short: the tenant of a Leg, or the status of a failure."""
     if isinstance(outcome, Attempt):
-        return ("leg", outcome.tenant)
+        return ("attempt", outcome.tenant)
     assert isinstance(outcome, failures.Failure), outcome
     return ("refused", outcome.status)
--- a/tests/test_places_given_back.py
+++ b/tests/test_places_given_back.py
@@ -7,7 +7,7 @@
 from routing import router
 from routing.tasks import Attempt, Done, KeepWaiting
 from simulation.placing import engine_facts
-from test_refusal_notes import CREW, DEADLINE_MS, TERMS, Scene
+from test_refusal_log import DEADLINE_MS, NODES, SETTINGS, Scene
 from testtools.matchers import Equals
 from transport import failures
 
@@ -67,7 +67,7 @@
             max_attempts=self.rng.randrange(1, 4),
             patience_ms=4800.0,
         )
-        self.take(router.begin(self.router, self.now_ms, self.floor, 0.0, CREW, task))
+        self.take(router.begin(self.router, self.now_ms, self.floor, 0.0, NODES, task))
 
     def ends(self):
         """An attempt ends, or is silent, or its caller leaves while it waits."""
@@ -77,7 +77,7 @@
         if token not in self.out:
             self.take(self.end(token, "gone"))
         elif self.rng.random() < 0.2:
-            args = self.router, self.now_ms, self.floor, 0.0, CREW, token
+            args = self.router, self.now_ms, self.floor, 0.0, NODES, token
             effects = router.attempt_silent(*args)
             if not (effects and isinstance(effects[0].outcome, KeepWaiting)):
                 self.out.pop(token, None)
@@ -87,12 +87,12 @@
 
     def end(self, token, proof):
         self.out.pop(token, None)
-        return router.ended(self.router, self.now_ms, self.floor, 0.0, CREW, token, proof)
+        return router.ended(self.router, self.now_ms, self.floor, 0.0, NODES, token, proof)
 
     def passes(self):
         self.now_ms += self.rng.choice((1.0, 40.0, 500.0, 3000.0))
         self.take(router.tick(self.router, self.now_ms, self.floor))
-        self.take(router.retry_waiting(self.router, self.now_ms, self.floor, 0.0, CREW))
+        self.take(router.retry_waiting(self.router, self.now_ms, self.floor, 0.0, NODES))
 
     def changes(self):
         """An engine comes cold, goes, is announced anew, or becomes suspect or sound."""
@@ -129,7 +129,7 @@
             self.calm(seed)
 
     def setUp_again(self, seed):
-        self.router = router.Router(TERMS)
+        self.router = router.Router(SETTINGS)
         self.ledger.suspects.clear()
         self.start(seed)
 
--- a/tests/test_platform_cold.py
+++ b/tests/test_platform_cold_engines.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-TERMS = RoutingSettings(
+SETTINGS = RoutingSettings(
     staleMs=1000.0,
     ramp_ms=1000.0,
     pauseMs=100.0,
@@ -19,24 +19,28 @@
 ENGINE = {"name": "e0", "service": "s", "state": "join", "zone": "z", "slots": 32, "warmMs": 60000}
 
 
-def pressing(count, per_s, seed, span_ms=5000.0):
+def request_times(count, per_s, seed, span_ms=5000.0):
     """When a cold engine is sent requests by `count` counters that never pause."""
     rng, names = random.Random(seed), tuple(f"c{n}" for n in range(count))
     service = {"warmPerS": per_s, "warmMs": 60000.0}
     sent_ms = []
     for name in names:
-        r, crew, now_ms = Router(TERMS), choice.RoutingNodes(name, names), 10 * rng.random()
+        router, nodes, now_ms = (
+            Router(SETTINGS),
+            choice.RoutingNodes(name, names),
+            10 * rng.random(),
+        )
         cold_engines.update(
-            r, now_ms, Registry(engines={"e0": ENGINE}), {"s": service}, lambda e: True
+            router, now_ms, Registry(engines={"e0": ENGINE}), {"s": service}, lambda e: True
         )
         while now_ms < span_ms:
-            if cold_engines.take_token(r, now_ms, ENGINE, service, crew):
+            if cold_engines.take_token(router, now_ms, ENGINE, service, nodes):
                 sent_ms.append(now_ms)
-            now_ms += cold_engines.ms_until_token(r, now_ms, ENGINE, service, crew) + 0.001
+            now_ms += cold_engines.ms_until_token(router, now_ms, ENGINE, service, nodes) + 0.001
     return sorted(sent_ms)
 
 
-def most_in_a_second(sent_ms):
+def max_per_second(sent_ms):
     first, most = 0, 0
     for last, at_ms in enumerate(sent_ms):
         while at_ms - sent_ms[first] > 1000.0:
@@ -49,27 +53,27 @@
     def test_no_second_has_more_than_it_bears(self):
         for count in range(1, 101):
             for per_s in (1.0, 7.0, 33.0):
-                most = most_in_a_second(pressing(count, per_s, count, 3000.0))
+                most = max_per_second(request_times(count, per_s, count, 3000.0))
                 self.assertThat(most, LessThan(per_s * 1.5 + 5 + 1e-9), f"{count} {per_s}")
 
     def test_it_is_used_all_the_same(self):
         for count in (1, 3, 8, 30, 100):
             for per_s in (2.5, 7.0, 20.0):
-                sent_ms = pressing(count, per_s, count)
+                sent_ms = request_times(count, per_s, count)
                 self.assertThat(len(sent_ms) / 5, GreaterThan(0.5 * per_s), f"{count} {per_s}")
 
     def test_none_goes_to_one_that_bears_none(self):
         for count in (1, 5, 50):
-            self.assertThat(len(pressing(count, 0.0, count)), LessThan(6))
+            self.assertThat(len(request_times(count, 0.0, count)), LessThan(6))
 
     def test_when_it_is_cold(self):
-        r, registry = Router(TERMS), Registry(engines={"e0": {**ENGINE, "warmMs": 3000}})
+        router, registry = Router(SETTINGS), Registry(engines={"e0": {**ENGINE, "warmMs": 3000}})
         services = {"s": {"warmPerS": 5.0, "warmMs": 9000.0}}
         open_ = [True]
 
         def cold_at(now_ms):
-            cold_engines.update(r, now_ms, registry, services, lambda e: open_[0])
-            return cold_engines.is_cold(r, now_ms, ENGINE)
+            cold_engines.update(router, now_ms, registry, services, lambda e: open_[0])
+            return cold_engines.is_cold(router, now_ms, ENGINE)
 
         self.assertThat([cold_at(ms) for ms in (0.0, 2900.0, 3200.0)], Equals([True, True, False]))
         open_[0] = False
@@ -82,4 +86,4 @@
         self.assertThat([cold_at(ms) for ms in (20000.0, 22200.0)], Equals([True, False]))
         registry.engines = {}
         cold_at(23000.0)
-        self.assertThat((r.known_engines, r.cold_until_ms), Equals(({}, {})))
+        self.assertThat((router.known_engines, router.cold_until_ms), Equals(({}, {})))
--- a/tests/test_platform_pool.py
+++ b/tests/test_platform_pool.py
@@ -25,43 +25,45 @@
         self.clock = Clock()
         self.patch(connection_pool, "time", self.clock)
         self.pool = ConnectionPool()
-        self.ours, self.theirs = socket.socketpair()
-        for sock in (self.ours, self.theirs):
+        self.own_end, self.engine_end = socket.socketpair()
+        for sock in (self.own_end, self.engine_end):
             self.addCleanup(sock.close)
 
-    def give(self, keep_s, fd=None):
-        pipe, _ = self.pool.acquire("http://e", True)
-        self.pool.release("http://e", pipe, self.ours.fileno() if fd is None else fd, keep_s)
-        return pipe
+    def release(self, keep_s, fd=None):
+        connection, _ = self.pool.acquire("http://e", True)
+        self.pool.release(
+            "http://e", connection, self.own_end.fileno() if fd is None else fd, keep_s
+        )
+        return connection
 
-    def kept(self, base="http://e", fresh=False):
-        pipe, kept = self.pool.acquire(base, fresh)
-        self.addCleanup(pipe.close)
-        return pipe if kept else None
+    def acquire(self, base="http://e", fresh=False):
+        connection, is_pooled = self.pool.acquire(base, fresh)
+        self.addCleanup(connection.close)
+        return connection if is_pooled else None
 
     def test_kept_once_for_its_own_address(self):
-        pipe = self.give(10)
-        self.assertThat(self.kept("http://f"), Equals(None))
-        self.assertThat(self.kept(), Equals(pipe))
-        self.assertThat(self.kept(), Equals(None))
+        connection = self.release(10)
+        self.assertThat(self.acquire("http://f"), Equals(None))
+        self.assertThat(self.acquire(), Equals(connection))
+        self.assertThat(self.acquire(), Equals(None))
 
     def test_a_leg_that_must_not_run_twice_takes_none(self):
-        pipe = self.give(10)
-        self.assertThat(self.kept(fresh=True), Equals(None))
-        self.assertThat(self.kept(), Equals(pipe))
+        connection = self.release(10)
+        self.assertThat(self.acquire(fresh=True), Equals(None))
+        self.assertThat(self.acquire(), Equals(connection))
 
     def test_not_with_bytes_to_read(self):
-        self.give(10)
-        self.theirs.send(b"H")
-        self.assertThat(self.kept(), Equals(None))
+        self.release(10)
+        self.engine_end.send(b"H")
+        self.assertThat(self.acquire(), Equals(None))
 
     def test_not_after_the_other_end_closed(self):
-        self.give(10)
-        self.theirs.close()
-        self.assertThat(self.kept(), Equals(None))
+        self.release(10)
+        self.engine_end.close()
+        self.assertThat(self.acquire(), Equals(None))
 
     def test_not_past_its_time(self):
-        for keep_s, passed_s, good in (
+        for keep_s, elapsed_s, good in (
             (10, 5.0, True),
             (10, 9.0, False),
             (1, 0.5, True),
@@ -70,29 +72,31 @@
             (None, 0.3, True),
             (None, 1.0, False),
         ):
-            self.give(keep_s)
-            self.clock.now_s += passed_s
-            self.assertThat(self.kept() is not None, Equals(good), f"{keep_s} {passed_s}")
+            self.release(keep_s)
+            self.clock.now_s += elapsed_s
+            self.assertThat(self.acquire() is not None, Equals(good), f"{keep_s} {elapsed_s}")
 
     def test_not_without_a_socket(self):
-        self.give(10, fd=-1)
-        self.assertThat(self.kept(), Equals(None))
+        self.release(10, fd=-1)
+        self.assertThat(self.acquire(), Equals(None))
 
     def test_the_newest_is_used_and_the_rest_bounded(self):
-        given = [self.give(10) for _ in range(50)]
+        given = [self.release(10) for _ in range(50)]
         found = []
-        while (pipe := self.kept()) is not None:
-            found.append(pipe)
+        while (connection := self.acquire()) is not None:
+            found.append(connection)
         self.assertThat(found, Equals(given[-1:-33:-1]))
 
     def test_connections_of_engines_that_have_gone_are_closed(self):
         """Nobody asks for their addresses any more, and others are given back."""
         closed = []
-        self.patch(connection_pool.Connection, "close", lambda pipe: closed.append(pipe))
-        gone = self.give(1)
+        self.patch(
+            connection_pool.Connection, "close", lambda connection: closed.append(connection)
+        )
+        gone = self.release(1)
         self.clock.now_s += 6.0
         other, _ = self.pool.acquire("http://f", True)
-        self.pool.release("http://f", other, self.ours.fileno(), 10)
+        self.pool.release("http://f", other, self.own_end.fileno(), 10)
         self.assertThat((closed, list(self.pool._idle)), Equals(([gone], ["http://f"])))
 
 
@@ -159,9 +163,9 @@
 
 
 class Served(TestCase):
-    def get(self, engine, kept, fresh=False):
+    def get(self, engine, pool, fresh=False):
         source = proxying.stream(
-            kept,
+            pool,
             engine.url,
             EngineRequest("GET", engine.url + "/a/../b?x", b""),
             10000,
@@ -173,10 +177,10 @@
 
     def connections(self, first, fresh=False):
         """How many connections two requests take, the first answered so."""
-        engine, kept = Engine(first, answer(b"two"), answer(b"three")), ConnectionPool()
+        engine, pool = Engine(first, answer(b"two"), answer(b"three")), ConnectionPool()
         self.addCleanup(engine.close)
-        self.get(engine, kept)
-        self.assertThat(self.get(engine, kept, fresh), Equals((b"two", 200)))
+        self.get(engine, pool)
+        self.assertThat(self.get(engine, pool, fresh), Equals((b"two", 200)))
         return engine.connections
 
     def test_reused_after_a_whole_answer(self):
@@ -195,9 +199,9 @@
     def test_bytes_after_an_answer_belong_to_none(self):
         engine = Engine(answer(b"one", "Keep-Alive: timeout=60") + answer(b"stray"), answer(b"two"))
         self.addCleanup(engine.close)
-        kept = ConnectionPool()
+        pool = ConnectionPool()
         self.assertThat(
-            [self.get(engine, kept)[0], self.get(engine, kept)[0]], Equals([b"one", b"two"])
+            [self.get(engine, pool)[0], self.get(engine, pool)[0]], Equals([b"one", b"two"])
         )
 
     def test_sent_as_it_came(self):
--- a/tests/test_platform_relaying.py
+++ b/tests/test_platform_relaying.py
@@ -16,7 +16,7 @@
 OWN = (("X-Try-Id", "t1"), ("X-Postmark", "p"), ("Content-Type", "text/event-stream"))
 STREAM = {"kind": "stream", "resumable": True, "repeatable": True}
 PLAIN = {"kind": "safe", "resumable": False, "repeatable": True}
-CUT, WHOLE = AttemptEnd(0, b"", True, "cut"), AttemptEnd(200, b"", True)
+CUT_OFF, COMPLETE = AttemptEnd(0, b"", True, "cut"), AttemptEnd(200, b"", True)
 
 
 def head(code=200, headers=OWN, reason="Fine"):
@@ -34,22 +34,22 @@
 class Relayed(TestCase):
     """`legs`: what comes of each leg in turn; `silent`: what is said of a silent one."""
 
-    def relay(self, legs, facts, silent=None, environ=None, left_ms=None, **told):
+    def relay(self, attempts, facts, silent=None, environ=None, left_ms=None, **request):
         """`left_ms`: how much time each attempt that is decided has left, if it is told;
         there are no more attempts then."""
-        sources, self.asked, self.proofs, self.closed = list(legs), [], [], []
+        sources, self.requests, self.proofs, self.closed = list(attempts), [], [], []
         ends_ms = None if left_ms is None else [time.monotonic() * 1000 + ms for ms in left_ms]
         spent = failures.OutcomeUnknown("leg-broken")
 
         def stream(pool, base, ask, timeout_ms, connect_ms, fresh, silent_ms):
-            self.asked.append(ask)
+            self.requests.append(ask)
             try:
                 yield from sources.pop(0)
             finally:
                 self.closed.append(base)
 
-        def next_leg():
-            number = len(self.asked)
+        def next_attempt():
+            number = len(self.requests)
             if not sources or ends_ms == []:
                 return spent
             end_ms = ends_ms.pop(0) if ends_ms else float("inf")
@@ -57,12 +57,12 @@
 
         def ask(token, verb, body):
             if verb == "silent":
-                return silent or next_leg()
+                return silent or next_attempt()
             self.proofs.append(body["proof"])
-            return Done() if body["proof"] in ("done", "gone", "cut") else next_leg()
+            return Done() if body["proof"] in ("done", "gone", "cut") else next_attempt()
 
         self.patch(proxying, "stream", stream)
-        self.told = {
+        self.request = {
             "id": "t1",
             "method": "POST",
             "target": "/a/b?c",
@@ -70,10 +70,10 @@
             "headers": ("X-Try-Id: t1",),
             "aimMs": 500.0,
             **facts,
-            **told,
+            **request,
         }
         return RequestRelay(ask, None, DIALECT, 100).serve(
-            "k", self.told, next_leg(), environ or {}
+            "k", self.request, next_attempt(), environ or {}
         )
 
     def body(self, response):
@@ -100,7 +100,7 @@
             self.assertThat(self.body(response), Equals((b"ab\x00\xff", True)))
             self.assertThat(response.headers["X-Postmark"], Equals("p"))
             self.assertThat(self.proofs, Equals(["failed" if code == 500 else "done"]))
-            (sent,) = self.asked
+            (sent,) = self.requests
             self.assertThat(
                 (sent.method, sent.url, sent.body), Equals(("POST", "http://e0/a/b?c", b"q"))
             )
@@ -115,7 +115,7 @@
             (("X-Postmark", "p"), ("X-Try-Id", "T1")),
         ):
             for facts in (PLAIN, STREAM, {**PLAIN, "repeatable": False}):
-                bad = [head(200, headers), *data(b"foreign"), ("end", WHOLE)]
+                bad = [head(200, headers), *data(b"foreign"), ("end", COMPLETE)]
                 response = self.relay([bad, bad], facts)
                 self.assertThat(response.status_code, Equals(502))
                 self.assertFalse(b"foreign" in self.body(response)[0])
@@ -131,18 +131,18 @@
             self.assertThat(self.proofs, Equals(["unknown"]))
 
     def test_what_has_not_run_goes_elsewhere(self):
-        refused = [head(503, (("X-Try-Id", "t1"), ("X-Not-Run", "full"))), ("end", WHOLE)]
-        good = [head(), *data(b"ok"), ("end", WHOLE)]
+        refused = [head(503, (("X-Try-Id", "t1"), ("X-Not-Run", "full"))), ("end", COMPLETE)]
+        good = [head(), *data(b"ok"), ("end", COMPLETE)]
         response = self.relay([refused, good], {**PLAIN, "repeatable": False})
         self.assertThat(self.body(response), Equals((b"ok", True)))
         self.assertThat(self.proofs, Equals(["not-run", "done"]))
 
     def test_a_cut_answer_is_not_passed_on(self):
-        cut = [head(), *data(b"half"), ("end", CUT)]
+        cut = [head(), *data(b"half"), ("end", CUT_OFF)]
         response = self.relay([cut], {**PLAIN, "repeatable": False})
         self.assertThat(response.status_code, Equals(502))
         self.assertThat(self.proofs, Equals(["unknown"]))
-        response = self.relay([cut, [head(), *data(b"whole"), ("end", WHOLE)]], PLAIN)
+        response = self.relay([cut, [head(), *data(b"whole"), ("end", COMPLETE)]], PLAIN)
         self.assertThat(self.body(response), Equals((b"whole", True)))
 
     def test_nothing_sent(self):
@@ -166,7 +166,7 @@
 
     def test_a_failure_that_is_cut_is_not_told(self):
         for facts in (PLAIN, STREAM):
-            bad = [head(500, OWN + (("Content-Length", "5"),)), *data(b"oo"), ("end", CUT)]
+            bad = [head(500, OWN + (("Content-Length", "5"),)), *data(b"oo"), ("end", CUT_OFF)]
             response = self.relay([bad], facts)
             self.assertThat(response.status_code, Equals(502))
 
@@ -175,7 +175,7 @@
     def test_it_goes_on(self):
         for facts in (PLAIN, STREAM):
             response = self.relay(
-                [[("silent", None), ("idle", None), head(), *data(event(1)), ("end", WHOLE)]],
+                [[("silent", None), ("idle", None), head(), *data(event(1)), ("end", COMPLETE)]],
                 facts,
                 silent=KeepWaiting(),
             )
@@ -188,7 +188,7 @@
             response = self.relay(
                 [
                     [("silent", None), head(), *data(event(1, "late"))],
-                    [head(), *data(event(1)), ("end", WHOLE)],
+                    [head(), *data(event(1)), ("end", COMPLETE)],
                 ],
                 facts,
             )
@@ -200,9 +200,9 @@
     def test_another_leg_of_a_stream_that_broke(self):
         response = self.relay(
             [
-                [head(), *data(event(1)), ("end", CUT)],
+                [head(), *data(event(1)), ("end", CUT_OFF)],
                 [("silent", None)],
-                [head(), *data(event(2)), ("end", WHOLE)],
+                [head(), *data(event(2)), ("end", COMPLETE)],
             ],
             STREAM,
         )
@@ -225,7 +225,7 @@
                         *data(event(1), event(2)[:5]),
                         ("idle", None),
                         *data(event(2)[5:] + event(3)),
-                        ("end", WHOLE),
+                        ("end", COMPLETE),
                     ]
                 ],
                 facts,
@@ -238,7 +238,7 @@
         whole = b"".join(event(n) for n in range(1, 9))
         for size in range(1, 40):
             parts = [whole[at : at + size] for at in range(0, len(whole), size)]
-            response = self.relay([[head(), *data(*parts), ("end", WHOLE)]], STREAM)
+            response = self.relay([[head(), *data(*parts), ("end", COMPLETE)]], STREAM)
             out = list(response.iter_encoded())
             self.assertThat(b"".join(out), Equals(whole))
             self.assertTrue(all(part.endswith(b"\n\n") for part in out))
@@ -251,28 +251,32 @@
                 rest = [event(n) for n in range(max(1, done + 1 - overlap), 7)]
                 response = self.relay(
                     [
-                        [head(), *data(whole[:at]), ("end", CUT)],
-                        [head(), *data(*rest), ("end", WHOLE)],
+                        [head(), *data(whole[:at]), ("end", CUT_OFF)],
+                        [head(), *data(*rest), ("end", COMPLETE)],
                     ],
                     STREAM,
                 )
                 self.assertThat(self.body(response), Equals((whole, True)), f"{at} {overlap}")
                 self.assertThat(self.proofs, Equals(["unknown", "done"]))
-                told = [h for h in self.asked[1].headers if h.startswith("Last-Event-Id")]
-                self.assertThat(told, Equals([f"Last-Event-Id: {done}"] if done else []))
+                resume_headers = [
+                    h for h in self.requests[1].headers if h.startswith("Last-Event-Id")
+                ]
+                self.assertThat(resume_headers, Equals([f"Last-Event-Id: {done}"] if done else []))
 
     def test_joined_twice_and_from_the_callers_own_id(self):
-        legs = [
-            [head(), *data(event(13), event(14)[:4]), ("end", CUT)],
-            [("end", CUT)],
-            [head(), *data(event(14), b"id: 1"), ("end", CUT)],
-            [head(), *data(event(15)), ("end", WHOLE)],
+        attempts = [
+            [head(), *data(event(13), event(14)[:4]), ("end", CUT_OFF)],
+            [("end", CUT_OFF)],
+            [head(), *data(event(14), b"id: 1"), ("end", CUT_OFF)],
+            [head(), *data(event(15)), ("end", COMPLETE)],
         ]
-        response = self.relay(legs, STREAM, headers=("X-Try-Id: t1", "Last-Event-Id: 12"))
+        response = self.relay(attempts, STREAM, headers=("X-Try-Id: t1", "Last-Event-Id: 12"))
         self.assertThat(self.body(response), Equals((event(13) + event(14) + event(15), True)))
-        told = [[h for h in ask.headers if h.startswith("Last-Event-Id")] for ask in self.asked]
+        resume_headers = [
+            [h for h in ask.headers if h.startswith("Last-Event-Id")] for ask in self.requests
+        ]
         self.assertThat(
-            told,
+            resume_headers,
             Equals(
                 [
                     ["Last-Event-Id: 12"],
@@ -287,8 +291,8 @@
         other = (("X-Try-Id", "t1"), ("X-Postmark", "q"))
         response = self.relay(
             [
-                [head(), *data(event(1)), ("end", CUT)],
-                [head(200, other), *data(event(2)), ("end", WHOLE)],
+                [head(), *data(event(1)), ("end", CUT_OFF)],
+                [head(200, other), *data(event(2)), ("end", COMPLETE)],
             ],
             STREAM,
         )
@@ -297,26 +301,26 @@
 
     def test_cut_otherwise(self):
         """Not resumable, no other engine, or one whose answer isn't good."""
-        first = [head(), *data(event(1), event(2)[:3]), ("end", CUT)]
+        first = [head(), *data(event(1), event(2)[:3]), ("end", CUT_OFF)]
         foreign = [head(200, (("X-Try-Id", "t2"), ("X-Postmark", "p"))), *data(event(2))]
         failed = [head(500), *data(b"no"), ("end", AttemptEnd(500, b"", True))]
-        for legs, facts, got in (
+        for attempts, facts, got in (
             ([first], STREAM, event(1)),
             ([first, foreign], STREAM, event(1)),
             ([first, failed], STREAM, event(1)),
-            ([first, [("end", CUT)]], STREAM, event(1)),
+            ([first, [("end", CUT_OFF)]], STREAM, event(1)),
             (
                 [first, first],
                 {**STREAM, "resumable": False, "repeatable": False},
                 event(1) + event(2)[:3],
             ),
         ):
-            response = self.relay(legs, facts)
+            response = self.relay(attempts, facts)
             self.assertThat(self.body(response), Equals((got, False)))
-            self.assertThat(len(self.closed), Equals(len(self.asked)))
+            self.assertThat(len(self.closed), Equals(len(self.requests)))
 
     def test_a_caller_who_leaves(self):
-        response = self.relay([[head(), *data(event(1), event(2)), ("end", WHOLE)]], STREAM)
+        response = self.relay([[head(), *data(event(1), event(2)), ("end", COMPLETE)]], STREAM)
         self.assertThat(next(response.iter_encoded()), Equals(event(1)))
         response.close()
         self.assertThat((self.proofs, len(self.closed)), Equals((["gone"], 1)))
--- a/tests/test_platform_silent.py
+++ b/tests/test_platform_silent_attempts.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-CREW = choice.RoutingNodes("c0", ("c0",), "z")
+NODES = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class Silent(TestCase):
@@ -38,7 +38,7 @@
             )
         )
 
-    def begin(self, r, token="t", repeatable=True, max_attempts=3):
+    def begin(self, state, token="t", repeatable=True, max_attempts=3):
         task = router.Task(
             token,
             token,
@@ -55,47 +55,51 @@
             max_attempts=max_attempts,
             from_platform=True,
         )
-        (reply,) = router.begin(r, 1000.0, self.floor, 0.0, CREW, task)
+        (reply,) = router.begin(state, 1000.0, self.floor, 0.0, NODES, task)
         return reply.outcome
 
-    def silent(self, r, token="t", age_ms=0.0):
-        return router.attempt_silent(r, 1400.0, self.floor, age_ms, CREW, token)[0].outcome
+    def silent(self, state, token="t", age_ms=0.0):
+        return router.attempt_silent(state, 1400.0, self.floor, age_ms, NODES, token)[0].outcome
 
     def test_another_engine(self):
-        r = self.router(5.0)
-        first, second = self.begin(r), self.silent(r)
+        state = self.router(5.0)
+        first, second = self.begin(state), self.silent(state)
         self.assertIsInstance(second, Attempt)
         self.assertThat(first.engine == second.engine, Equals(False))
-        self.assertThat(r.in_flight[first.engine], Equals(0))
+        self.assertThat(state.in_flight[first.engine], Equals(0))
 
     def test_not_what_may_run_once_or_is_spent(self):
         for facts in ({"repeatable": False}, {"max_attempts": 1}):
-            r = self.router(5.0)
-            self.begin(r, **facts)
-            self.assertThat((self.silent(r), len(r.tasks)), Equals((KeepWaiting(), 1)))
+            state = self.router(5.0)
+            self.begin(state, **facts)
+            self.assertThat((self.silent(state), len(state.tasks)), Equals((KeepWaiting(), 1)))
         self.assertThat(self.silent(self.router(5.0), "unknown"), Equals(KeepWaiting()))
 
     def test_not_without_another_engine(self):
-        r = self.router(5.0)
-        first = self.begin(r)
+        state = self.router(5.0)
+        first = self.begin(state)
         for name in set(self.floor.registry.engines) - {first.engine}:
             del self.floor.registry.engines[name]
-        self.assertThat((self.silent(r), len(r.tasks)), Equals((KeepWaiting(), 1)))
+        self.assertThat((self.silent(state), len(state.tasks)), Equals((KeepWaiting(), 1)))
 
     def test_a_spent_budget_does_not_end_the_leg_that_is_out(self):
         """Silence gives no reason to end an answer: it goes on if it can't be replaced."""
-        r = self.router(2.0)
+        state = self.router(2.0)
         for number in range(2):
-            self.begin(r, f"t{number}")
-            self.assertIsInstance(self.silent(r, f"t{number}"), Attempt)
-        before = self.begin(r, "t2")
-        budget = r.retry_budgets[r.tasks["t2"].service]
+            self.begin(state, f"t{number}")
+            self.assertIsInstance(self.silent(state, f"t{number}"), Attempt)
+        before = self.begin(state, "t2")
+        budget = state.retry_budgets[state.tasks["t2"].service]
         retries = budget.retries
-        self.assertThat(self.silent(r, "t2"), Equals(KeepWaiting()))
-        self.assertThat(("t2" in r.tasks, r.in_flight[before.engine] > 0), Equals((True, True)))
+        self.assertThat(self.silent(state, "t2"), Equals(KeepWaiting()))
+        self.assertThat(
+            ("t2" in state.tasks, state.in_flight[before.engine] > 0), Equals((True, True))
+        )
         self.assertTrue(budget.retries <= retries)
 
     def test_nor_does_a_layout_that_is_old(self):
-        r = self.router(5.0, stale=500.0)
-        self.begin(r)
-        self.assertThat((self.silent(r, age_ms=600.0), len(r.tasks)), Equals((KeepWaiting(), 1)))
+        state = self.router(5.0, stale=500.0)
+        self.begin(state)
+        self.assertThat(
+            (self.silent(state, age_ms=600.0), len(state.tasks)), Equals((KeepWaiting(), 1))
+        )
--- a/tests/test_after_a_freeze.py
+++ b/tests/test_process_pause.py
@@ -3,7 +3,7 @@
 import socket
 
 from routing.engine_calls import AttemptEnd
-from test_platform_relaying import PLAIN, STREAM, WHOLE, Relayed, data, event, head
+from test_platform_relaying import COMPLETE, PLAIN, STREAM, Relayed, data, event, head
 from testtools.matchers import Equals
 
 
@@ -11,18 +11,18 @@
     """Attempts that have little time left, or whose caller has gone."""
 
     def test_nothing_is_sent_past_its_time(self):
-        good = [head(), *data(b"late"), ("end", WHOLE)]
+        good = [head(), *data(b"late"), ("end", COMPLETE)]
         for facts in (PLAIN, STREAM, {**PLAIN, "repeatable": False}):
             response = self.relay([good], facts, left_ms=[-1.0])
-            self.assertThat(self.asked, Equals([]))
+            self.assertThat(self.requests, Equals([]))
             self.assertThat(self.proofs, Equals(["not-run"]))
             self.assertThat(self.closed, Equals([]))
             response.close()
 
     def test_an_engine_is_given_only_what_is_left(self):
-        good = [head(), *data(b"ok"), ("end", WHOLE)]
+        good = [head(), *data(b"ok"), ("end", COMPLETE)]
         self.relay([good], {**PLAIN, "repeatable": False}, left_ms=[300.0])
-        (sent,) = self.asked
+        (sent,) = self.requests
         (line,) = [h for h in sent.headers if h.startswith("X-Deadline-Ms:")]
         self.assertThat(0 < int(line.partition(": ")[2]) <= 300, Equals(True), line)
 
@@ -30,16 +30,16 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         theirs.close()
-        good = [head(), *data(b"ok"), ("end", WHOLE)]
+        good = [head(), *data(b"ok"), ("end", COMPLETE)]
         for facts in (PLAIN, STREAM):
             self.relay([good], facts, environ={"werkzeug.socket": ours})
-            self.assertThat(self.asked, Equals([]))
+            self.assertThat(self.requests, Equals([]))
             self.assertThat(self.proofs, Equals(["gone"]))
 
     def test_a_stream_does_not_go_on_past_its_time(self):
         broken = [head(), *data(event(1)), ("end", AttemptEnd(0, b"", True, "cut"))]
-        rest = [head(), *data(event(2)), ("end", WHOLE)]
+        rest = [head(), *data(event(2)), ("end", COMPLETE)]
         response = self.relay([broken, rest], STREAM, left_ms=[1000.0, -1.0])
         self.assertThat(self.body(response), Equals((event(1), False)))
-        self.assertThat(len(self.asked), Equals(1))
+        self.assertThat(len(self.requests), Equals(1))
         self.assertThat(self.proofs, Equals(["unknown", "gone"]))
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from quota_records import TERMS, tenant
+from quota_records import SETTINGS, tenant
 from quota_world import World
 from quotas import bucket as buckets
 from quotas import depot_choice, grant_shares, granting, spending
@@ -44,7 +44,7 @@
         self.assertThat(world.worst("flood")[0], GreaterThan(1000))
 
     def test_asks_of_one_turn_to_one_depot_travel_in_one_message(self):
-        state = spending.SpendingState("n", TERMS)
+        state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         for name in ("a", "b", "a"):
             limit = tenant(name, 5, 5, 1).limit(0.0)
@@ -59,13 +59,13 @@
         self.assertThat(spending.advance(state, 1.0), Equals(([], [])))
 
     def test_a_request_whose_caller_left_spends_nothing(self):
-        state = spending.SpendingState("n", TERMS)
+        state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 5, 5, 1).limit(0.0), "gone")
         _, asks = spending.advance(state, 0.0)
         spending.cancel(state, "gone")
         share = grant_shares.Share(1, -1e12)
-        grant = granting.on_request(granting.GrantingState(TERMS), 1.0, asks[0].ask, share)
+        grant = granting.on_request(granting.GrantingState(SETTINGS), 1.0, asks[0].ask, share)
         spending.on_grant(state, 2.0, "only", grant)
         self.assertThat(spending.advance(state, 2.0), Equals(([], [])))
         self.assertThat(state.tenants["a"].spent, Equals(0))
@@ -73,7 +73,7 @@
 
     # SHORT: with thousands of tenants, new ones were refused and each ask took a long look.
     def test_thousands_of_tenants_are_granted_their_first_requests(self):
-        state, share = granting.GrantingState(TERMS), grant_shares.Share(5, -1e12)
+        state, share = granting.GrantingState(SETTINGS), grant_shares.Share(5, -1e12)
         for number in range(6000):
             want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
             grant = granting.on_request(state, float(number), QuotaAsk(1, (want,)), share)
@@ -85,7 +85,7 @@
         self.patch(
             granting, "_drop_full_buckets", lambda *facts: looks.append(1) or true_drop(*facts)
         )
-        state, share = granting.GrantingState(TERMS), grant_shares.Share(5, -1e12)
+        state, share = granting.GrantingState(SETTINGS), grant_shares.Share(5, -1e12)
         for number in range(300):
             want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
             granting.on_request(state, 10.0 * number, QuotaAsk(1, (want,)), share)
@@ -93,7 +93,7 @@
 
     # SHORT: a tenant whose limit was raised was refused for what depots had said before.
     def test_what_depots_said_of_another_limit_counts_no_more(self):
-        state = spending.SpendingState("n", TERMS)
+        state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
         _, asks = spending.advance(state, 0.0)
@@ -110,7 +110,7 @@
 
     def test_full_buckets_are_dropped_when_there_are_too_many(self):
         self.patch(granting, "_MAX_BUCKETS", 10)
-        state, share = granting.GrantingState(TERMS), grant_shares.Share(1, -1e12)
+        state, share = granting.GrantingState(SETTINGS), grant_shares.Share(1, -1e12)
         rng, given = random.Random(1), []
         for number in range(200):
             want = spending.QuotaWant(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
@@ -120,11 +120,11 @@
         for name in {name for name, _ in given}:
             total = sum(count for other, count in given if other == name)
             self.assertThat(
-                total, LessThan(granting.quota_settings.bucket_capacity(TERMS, 1.0) + 4 + 1)
+                total, LessThan(granting.quota_settings.bucket_capacity(SETTINGS, 1.0) + 4 + 1)
             )
 
     def test_the_highest_version_of_a_limit_counts(self):
-        state, share = granting.GrantingState(TERMS), grant_shares.Share(2, -1e12)
+        state, share = granting.GrantingState(SETTINGS), grant_shares.Share(2, -1e12)
 
         def ask(now_ms, version, rate, burst):
             want = spending.QuotaWant("a", version, rate, burst, 1, 0)
@@ -139,12 +139,13 @@
     # QUOTA: a founder that was removed, restarted and was taken back granted at once.
     def test_a_founder_that_is_taken_back_waits_as_a_newcomer_does(self):
         founders = {f"d{number}" for number in range(5)}
-        stands = grant_shares.GrantEligibility("d0", 1000.0, 5, restarted=True)
-        grant_shares.observe(stands, 0.0, founders - {"d0"}, founders)
-        grant_shares.observe(stands, 10.0, founders, founders)
-        self.assertThat(grant_shares.current_share(stands, 1009.0, 0.0), Equals(None))
+        eligibility = grant_shares.GrantEligibility("d0", 1000.0, 5, restarted=True)
+        grant_shares.observe(eligibility, 0.0, founders - {"d0"}, founders)
+        grant_shares.observe(eligibility, 10.0, founders, founders)
+        self.assertThat(grant_shares.current_share(eligibility, 1009.0, 0.0), Equals(None))
         self.assertThat(
-            grant_shares.current_share(stands, 1010.0, 0.0), Equals(grant_shares.Share(5, 1010.0))
+            grant_shares.current_share(eligibility, 1010.0, 0.0),
+            Equals(grant_shares.Share(5, 1010.0)),
         )
 
     def test_parts_never_make_up_more_than_the_whole(self):
@@ -167,25 +168,25 @@
         else:
             members.add(f"n{number}")
         changes.append((at_ms, frozenset(members)))
-    stands = {
+    eligibility = {
         name: grant_shares.GrantEligibility(name, quorum_timeout_ms, size)
         for name in set().union(*(m for _, m in changes))
     }
-    events, marks = [], dict.fromkeys(stands, -1e12)
-    for name in stands:
+    events, marks = [], dict.fromkeys(eligibility, -1e12)
+    for name in eligibility:
         now_ms = 0.0
         while now_ms < at_ms + 2500:
             heapq.heappush(events, (now_ms + rng.uniform(0, 5), name, now_ms))
             now_ms += rng.choice([20, 100, 900]) if rng.random() < 0.9 else 2500
-    worst, seen = 0.0, dict.fromkeys(stands, 0)
+    worst, seen = 0.0, dict.fromkeys(eligibility, 0)
     while events:
         now_ms, name, sent_ms = heapq.heappop(events)
         while seen[name] < len(changes) and changes[seen[name]][0] <= sent_ms:
-            grant_shares.observe(stands[name], now_ms, changes[seen[name]][1], names)
+            grant_shares.observe(eligibility[name], now_ms, changes[seen[name]][1], names)
             seen[name] += 1
         marks[name] = max(marks[name], sent_ms)
         shares = [
-            grant_shares.current_share(s, now_ms, now_ms - marks[n]) for n, s in stands.items()
+            grant_shares.current_share(s, now_ms, now_ms - marks[n]) for n, s in eligibility.items()
         ]
         worst = max(worst, sum(1 / share.parts for share in shares if share))
     return worst
--- a/tests/test_quota_mutants.py
+++ b/tests/test_quota_mutants.py
@@ -47,19 +47,23 @@
 
     # QUOTA: a successor granted beside the depot that was removed without knowing.
     def test_a_newcomer_that_does_not_wait(self):
-        self.check(replaced, (grant_shares, "_since_ms", lambda stands, now_ms, founders: now_ms))
+        self.check(
+            replaced, (grant_shares, "_since_ms", lambda eligibility, now_ms, founders: now_ms)
+        )
 
     # QUOTA: a depot that was removed without knowing granted for ever.
     def test_a_depot_that_grants_without_marks(self):
-        def always(stands, now_ms, mark_age_ms):
-            return true_share(stands, now_ms, 0.0)
+        def always(eligibility, now_ms, mark_age_ms):
+            return true_share(eligibility, now_ms, 0.0)
 
         true_share = grant_shares.current_share
         self.check(replaced, (grant_shares, "current_share", always))
 
     # QUOTA: fewer members took larger parts while one that was removed held its own.
     def test_a_part_that_grows_as_soon_as_the_group_is_smaller(self):
-        self.check(shrunk, (grant_shares, "_members_to_count", lambda stands, after: len(after)))
+        self.check(
+            shrunk, (grant_shares, "_members_to_count", lambda eligibility, after: len(after))
+        )
 
     # QUOTA: a limit that was raised filled the bucket.
     def test_a_raised_limit_that_fills_the_bucket(self):
@@ -95,13 +99,13 @@
 
 def held_up():
     world = World(2, flood(), 12)
-    world.held_up = (5000.0, 10_000.0)
+    world.delivery_pause = (5000.0, 10_000.0)
     return world.run(16_000)
 
 
 def doubled_grants():
     world = World(2, flood(), 12)
-    world.doubled = 0.5
+    world.duplicated = 0.5
     return world.run(12_000)
 
 
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -67,9 +67,9 @@
         """A caller's request comes in at a counter; its first answer is kept."""
         self.count += 1
         token, host = f"t{self.count}", self.world.hosts[counter]
-        told = {"id": token, "host": "h", "path": path, "deadlineMs": 30_000}
-        told["key"] = tenant.encode()
-        told |= {"model": "", "adapter": "", "opening": (), "tokens": ()}
+        fields = {"id": token, "host": "h", "path": path, "deadlineMs": 30_000}
+        fields["key"] = tenant.encode()
+        fields |= {"model": "", "adapter": "", "opening": (), "tokens": ()}
         request = Request(tenant, self.world.now_ms, counter)
         self.requests.append(request)
 
@@ -79,7 +79,7 @@
             self.outcomes[token] = outcome
 
         self.world.replies[(counter, host.life, token)] = answered
-        worlds.post(self.world, host, e.Asked(token, "passage", told))
+        worlds.post(self.world, host, e.Asked(token, "passage", fields))
         return token
 
     def load(self, per_s, span_ms, seed=1):
@@ -103,9 +103,9 @@
     def test_a_flood_is_held_to_the_limit(self):
         self.load(300, 9000)
         runs = [request for request in self.requests if request.outcome == "run"]
-        terms = self.node("c0").quotas.spending.settings
+        settings = self.node("c0").quotas.spending.settings
         tenant = Tenant([(0.0, RateLimit(LIMITED, 1, RATE, BURST))], 0.0)
-        self.assertThat(worst_window(runs, tenant, terms)[0], LessThan(1e-9))
+        self.assertThat(worst_window(runs, tenant, settings)[0], LessThan(1e-9))
         self.assertThat(len(runs), GreaterThan(0.95 * (9 * RATE + BURST)))
         refused = {type(x) for x in self.outcomes.values()} - {router.Attempt}
         self.assertThat(refused, Equals({failures.QuotaExceeded}))
@@ -119,10 +119,16 @@
 
     def test_an_ask_is_sent_in_the_turn_in_which_its_request_came(self):
         node = self.node("c0")
-        told = {"id": "x", "host": "h", "path": "/x", "deadlineMs": 30_000, "key": LIMITED.encode()}
-        told |= {"model": "", "adapter": "", "opening": (), "tokens": ()}
+        fields = {
+            "id": "x",
+            "host": "h",
+            "path": "/x",
+            "deadlineMs": 30_000,
+            "key": LIMITED.encode(),
+        }
+        fields |= {"model": "", "adapter": "", "opening": (), "tokens": ()}
         now_ms = worlds.local(self.world, self.world.hosts["c0"])
-        effects = worlds.nodes.handle(node, now_ms, e.Asked("x", "passage", told))
+        effects = worlds.nodes.handle(node, now_ms, e.Asked("x", "passage", fields))
         asks = [x for x in effects if isinstance(x, Send) and isinstance(x.message, QuotaAsk)]
         self.assertThat(len(asks), Equals(1))
 
@@ -190,10 +196,12 @@
 
     def test_operators_see_what_was_given_and_refused(self):
         self.load(300, 6000)
-        told = [quota_requests.described(self.node(name))[LIMITED] for name in self.counters]
-        self.assertThat(sum(t["refused"] for t in told), GreaterThan(500))
+        descriptions = [
+            quota_requests.described(self.node(name))[LIMITED] for name in self.counters
+        ]
+        self.assertThat(sum(t["refused"] for t in descriptions), GreaterThan(500))
         runs = sum(request.outcome == "run" for request in self.requests)
-        self.assertThat(sum(t["spent"] for t in told), Equals(runs))
+        self.assertThat(sum(t["spent"] for t in descriptions), Equals(runs))
         for name in self.depots:
             self.node(name).floor.registry.sections["quotas"] = SECTION
             self.node(name).floor.registry.memo.clear()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -3,7 +3,7 @@
 
 import functools
 
-import quota_troubles
+import quota_faults
 from quota_records import tenant
 from quota_world import World
 from testtools import TestCase
@@ -14,7 +14,7 @@
 
 @functools.cache
 def calm_day(seed):
-    return quota_troubles.calm_day(seed, counters=40)
+    return quota_faults.calm_day(seed, counters=40)
 
 
 class PlainCounter:
@@ -43,7 +43,7 @@
     # QUOTA: a tenant got more than its limit.
     def test_no_window_is_over_the_bound_in_any_trouble(self):
         for seed in range(SEEDS):
-            self.assertThat(quota_troubles.troubled_day(seed).broken(), Equals({}), seed)
+            self.assertThat(quota_faults.faulty_day(seed).broken(), Equals({}), seed)
 
     # QUOTA: a tenant got more than its limit.
     def test_no_window_is_over_the_bound_in_a_calm(self):
@@ -56,7 +56,7 @@
     def test_a_lone_tenant_below_its_limit_is_refused_nothing(self):
         for seed, (load, burst) in enumerate([(0.3, 1), (2, 3), (20, 8), (80, 20)]):
             world = World(seed, {"lone": tenant("lone", 1.6 * load, burst, load)}, 40)
-            world.run(quota_troubles.DAY_MS)
+            world.run(quota_faults.DAY_MS)
             refused, owed = wrongly_refused(world, "lone")
             self.assertThat(owed, GreaterThan(0))
             self.assertThat(refused, Equals(0), (load, burst))
@@ -66,7 +66,7 @@
         refused = owed = 0
         for seed in range(2):
             world = calm_day(seed)
-            for name in quota_troubles.CALM:
+            for name in quota_faults.CALM:
                 found = wrongly_refused(world, name)
                 refused, owed = refused + found[0], owed + found[1]
         self.assertThat(refused, LessThan(0.005 * owed))
@@ -89,7 +89,7 @@
     def test_a_depot_that_is_lost_delays_few_requests_and_refuses_none(self):
         world = World(3, {"lone": tenant("lone", 40, 8, 20)}, 10)
         world.at(8000.0, world.stop_depot, "d1")
-        world.run(quota_troubles.DAY_MS)
+        world.run(quota_faults.DAY_MS)
         slow = [r for r in world.requests if r.ended_ms - r.sent_ms > 100]
         self.assertThat(world.share("refused", {"lone"}), Equals(0))
         self.assertThat(len(slow), LessThan(10 * 3))
@@ -115,7 +115,7 @@
             true_deliver(sender, to, message)
 
         world._deliver = deliver
-        world.run(quota_troubles.DAY_MS)
+        world.run(quota_faults.DAY_MS)
         self.assertThat(world.share("refused", {"lone"}), LessThan(0.01))
         self.assertThat(world.share("run", {"lone"}), GreaterThan(0.98))
 
--- a/tests/test_refusal_notes.py
+++ b/tests/test_refusal_log.py
@@ -12,7 +12,7 @@
 from testtools.matchers import ContainsDict, Equals
 from transport import failures
 
-TERMS = router.RoutingSettings(
+SETTINGS = router.RoutingSettings(
     staleMs=1e12,
     ramp_ms=1000.0,
     pauseMs=480.0,
@@ -21,7 +21,7 @@
     attempt_ms=20000.0,
     retryAllowance=50.0,
 )
-CREW = choice.RoutingNodes("c0", ("c0", "c1", "c2"), "z")
+NODES = choice.RoutingNodes("c0", ("c0", "c1", "c2"), "z")
 DEADLINE_MS = 20000.0
 
 
@@ -43,7 +43,7 @@
             self.floor.registry.engines[name] = engine_facts(name, self.service)
         self.ledger = floor.ledger_of(self.floor, world.shard_of(self.service, SHARDS))
         self.holds("e0")
-        self.router, self.now_ms, self.count = router.Router(TERMS), 1000.0, 0
+        self.router, self.now_ms, self.count = router.Router(SETTINGS), 1000.0, 0
 
     def holds(self, engine):
         """A report has shown the model on an engine."""
@@ -69,11 +69,11 @@
             max_attempts=max_attempts,
             patience_ms=4800.0,
         )
-        effects = router.begin(self.router, self.now_ms, self.floor, 0.0, CREW, task)
+        effects = router.begin(self.router, self.now_ms, self.floor, 0.0, NODES, task)
         return token, [effect.outcome for effect in effects if hasattr(effect, "outcome")]
 
     def ended(self, token, proof):
-        effects = router.ended(self.router, self.now_ms, self.floor, 0.0, CREW, token, proof)
+        effects = router.ended(self.router, self.now_ms, self.floor, 0.0, NODES, token, proof)
         return [effect.outcome for effect in effects if hasattr(effect, "outcome")]
 
     def wait(self, span_ms, step_ms=40.0):
@@ -82,7 +82,7 @@
         while self.now_ms < end_ms:
             self.now_ms += step_ms
             effects = router.tick(self.router, self.now_ms, self.floor)
-            effects += router.retry_waiting(self.router, self.now_ms, self.floor, 0.0, CREW)
+            effects += router.retry_waiting(self.router, self.now_ms, self.floor, 0.0, NODES)
             outcomes += [(e.token, e.outcome) for e in effects if hasattr(e, "outcome")]
         return outcomes
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -53,18 +53,18 @@
                         continue
                     for _ in range(6):
                         number = rng.randrange(ROUTERS)
-                        router, crew = routers[number], RoutingNodes(names[number], names)
+                        router, nodes = routers[number], RoutingNodes(names[number], names)
                         retry_budget.count_request(router, now_ms, service)
                         seen[service].requests_ms.append(now_ms)
                         while service == "failing" and retry_budget.retry_allowed(
-                            router, now_ms, service, 0.0, crew
+                            router, now_ms, service, 0.0, nodes
                         ):
                             seen[service].retries_ms.append(now_ms)
             self.assertThat(len(seen["failing"].retries_ms), GreaterThan(100))
             self.assertThat(seen["failing"].worst() <= 0, Equals(True), str(seed))
 
     def test_a_peek_spends_nothing_and_an_old_layout_allows_nothing(self):
-        (router, *_), crew = self.routers(), RoutingNodes("c0", ("c0",))
-        budget = retry_budget.retry_allowed(router, 0.0, "s", 0.0, crew, peek=True)
+        (router, *_), nodes = self.routers(), RoutingNodes("c0", ("c0",))
+        budget = retry_budget.retry_allowed(router, 0.0, "s", 0.0, nodes, peek=True)
         self.assertThat((budget, router.retry_budgets["s"].retries), Equals((True, 0.0)))
-        self.assertFalse(retry_budget.retry_allowed(router, 0.0, "s", 2e12, crew))
+        self.assertFalse(retry_budget.retry_allowed(router, 0.0, "s", 2e12, nodes))
--- a/tests/test_task_ends.py
+++ b/tests/test_task_completion.py
@@ -30,14 +30,14 @@
 from werkzeug.wrappers import Request
 
 OWN = (("X-Try-Id", "t1"), ("X-Postmark", "p"))
-CREW = choice.RoutingNodes("c0", ("c0",), "z")
+NODES = choice.RoutingNodes("c0", ("c0",), "z")
 
 
 class Relayed(TestCase):
     """One leg whose events are given; `ends` is what the owner heard."""
 
-    def relay(self, events, environ=None, step=None, **told):
-        self.ends, self.closed = [], []
+    def relay(self, events, environ=None, step=None, **request):
+        self.proofs, self.closed = [], []
 
         def stream(*args):
             try:
@@ -49,12 +49,12 @@
                 self.closed.append(True)
 
         def ask(token, verb, body):
-            self.ends.append(body["proof"])
+            self.proofs.append(body["proof"])
             over = body["proof"] in ("done", "gone", "cut")
             return Done() if over else step or failures.OutcomeUnknown("x")
 
         self.patch(proxying, "stream", stream)
-        self.told = {
+        self.request = {
             "id": "t1",
             "method": "POST",
             "target": "/a",
@@ -64,15 +64,15 @@
             "kind": "stream",
             "resumable": False,
             "repeatable": False,
-            **told,
+            **request,
         }
-        relaying = RequestRelay(ask, None, DIALECT, 100)
-        return relaying.serve("k", self.told, Attempt("e", "http://e", 1000.0), environ or {})
+        relay = RequestRelay(ask, None, DIALECT, 100)
+        return relay.serve("k", self.request, Attempt("e", "http://e", 1000.0), environ or {})
 
     def test_an_error_on_the_way_ends_the_task(self):
         for events in ([ValueError()], [("head", ResponseHead(200, "", OWN)), ValueError()]):
             self.assertRaises(ValueError, self.relay, events, kind="safe")
-            self.assertThat((self.ends, self.closed), Equals((["gone"], [True])))
+            self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
 
     def test_an_error_within_a_stream_ends_it_and_the_task(self):
         events = [("head", ResponseHead(200, "", OWN)), ("data", b"id: 1\n\n"), ValueError()]
@@ -80,14 +80,14 @@
         parts = iter(response.response)
         self.assertThat(next(parts), Equals(b"id: 1\n\n"))
         self.assertRaises(ValueError, next, parts)
-        self.assertThat((self.ends, self.closed), Equals((["gone"], [True])))
+        self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
 
     def test_a_stream_that_nobody_reads_ends(self):
         response = self.relay([("head", ResponseHead(200, "", OWN)), ("data", b"x")])
         response.close()
-        self.assertThat((self.ends, self.closed), Equals((["gone"], [True])))
+        self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
         response.close()
-        self.assertThat(self.ends, Equals(["gone"]))
+        self.assertThat(self.proofs, Equals(["gone"]))
 
     # An engine's head that can't be passed on kept a place at that engine for ever.
     def test_a_stream_that_cannot_be_given_ends(self):
@@ -95,13 +95,13 @@
             head = ResponseHead(200, "", (*OWN, ("Location", location)))
             response = self.relay([("head", head), ("data", b"x")])
             environ = EnvironBuilder().get_environ()
-            self.assertRaises(ValueError, responses.start, response, environ, lambda *told: None)
-            self.assertThat((self.ends, self.closed), Equals((["gone"], [True])))
+            self.assertRaises(ValueError, responses.start, response, environ, lambda *request: None)
+            self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
 
     def test_a_stream_that_is_given_goes_on(self):
         response = self.relay([("head", ResponseHead(200, "", OWN)), ("data", b"x")])
-        parts = responses.start(response, EnvironBuilder().get_environ(), lambda *told: None)
-        self.assertThat((next(iter(parts)), self.ends), Equals((b"x", [])))
+        parts = responses.start(response, EnvironBuilder().get_environ(), lambda *request: None)
+        self.assertThat((next(iter(parts)), self.proofs), Equals((b"x", [])))
         parts.close()
 
     def test_answers_without_a_body(self):
@@ -118,7 +118,7 @@
                 (response.get_wsgi_headers(environ)),
             )
             self.assertThat((list(body), status), Equals(([], code)))
-            self.assertThat(self.ends, Equals(["done"]))
+            self.assertThat(self.proofs, Equals(["done"]))
             if method == "HEAD":
                 self.assertThat(headers["Content-Length"], Equals("9"))
 
@@ -148,7 +148,7 @@
             parts = iter(response.response)
             self.assertThat(next(parts), Equals(b"id: 1\n\n"))
             self.assertRaises(ConnectionError, next, parts)
-            self.assertThat(self.ends, Equals(["gone"]))
+            self.assertThat(self.proofs, Equals(["gone"]))
 
     def test_no_promise_once_a_leg_may_have_run(self):
         for failure in (
@@ -211,17 +211,17 @@
             ),
         )
 
-    def ends(self, *proofs, now_ms=1100.0):
+    def proofs(self, *proofs, now_ms=1100.0):
         """What is said after legs that ended so."""
         terms = router.RoutingSettings(1e12, 1000.0, 100.0, 1.0, 10000.0, 1e6, retryAllowance=100.0)
         routing = router.Router(terms)
         task = router.Task(
             "t", "t", "s", "", "", "rank1", "", True, False, 9000.0, aimMs=500.0, from_platform=True
         )
-        (reply,) = router.begin(routing, 1000.0, self.floor, 0.0, CREW, task)
+        (reply,) = router.begin(routing, 1000.0, self.floor, 0.0, NODES, task)
         for proof in proofs:
             self.assertIsInstance(reply.outcome, Attempt)
-            reply, *_ = router.ended(routing, now_ms, self.floor, 0.0, CREW, "t", proof)
+            reply, *_ = router.ended(routing, now_ms, self.floor, 0.0, NODES, "t", proof)
         return reply.outcome
 
     def test_promised_only_what_has_not_run(self):
@@ -233,7 +233,7 @@
             (("not-run", "unknown"), 502),
             (("unknown", "no-pipe"), 502),
         ):
-            self.assertThat(self.ends(*proofs).status, Equals(status), str(proofs))
+            self.assertThat(self.proofs(*proofs).status, Equals(status), str(proofs))
 
 
 class Asking(TestCase):
@@ -300,8 +300,8 @@
                 asked.append(body)
                 return Done()
 
-        told = Request(
+        request = Request(
             EnvironBuilder(method="POST", json={"id": "mine", "change": "c"}).get_environ()
         )
-        server.Server(Asked())._change(told, "layout")
+        server.Server(Asked())._change(request, "layout")
         self.assertThat(asked, Equals([{"change": "c", "actor": ""}]))
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -10,13 +10,13 @@
 from tenant_harness import (
     BOUND_MS,
     CLOSED,
-    CREW,
+    NODES,
     NOW_MS,
     OPEN,
     ROUTE_RANK,
     TenantNode,
+    outcome_in_short,
     tenant,
-    words,
 )
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -26,10 +26,10 @@
 MAY_HAVE_RUN = ("refused", 502)
 
 
-def of(outcomes):
+def only_outcome(outcomes):
     """The one outcome, in short."""
     (outcome,) = outcomes.values()
-    return words(outcome)
+    return outcome_in_short(outcome)
 
 
 class Admitted(TestCase):
@@ -37,31 +37,33 @@
     def test_each_key_names_its_tenant(self):
         node = TenantNode({"a": tenant("k1", "k2"), "b": tenant("k3")})
         for key, name in ((b"k1", "a"), (b"k2", "a"), (b"k3", "b")):
-            self.assertThat(of(node.send(f"t-{key}", key)), Equals(("leg", name)))
-            self.assertThat(node.told[f"t-{key}"]["tenant"], Equals(name))
+            self.assertThat(only_outcome(node.send(f"t-{key}", key)), Equals(("attempt", name)))
+            self.assertThat(node.requests[f"t-{key}"]["tenant"], Equals(name))
 
     # Guards against ROUTE: a request ran though no configuration ever held its key.
     def test_an_unknown_key_is_refused_at_once(self):
         node = TenantNode({"a": tenant("k1", ""), "b": tenant()})
         for key in (b"", b"k", b"k11", b"K1", b"k1,k1", b" k1", b"\xff\x00"):
-            self.assertThat(of(node.send("t", key)), Equals(UNKNOWN), repr(key))
+            self.assertThat(only_outcome(node.send("t", key)), Equals(UNKNOWN), repr(key))
             self.assertThat(node.node.router.tasks, Equals({}))
 
     def test_a_public_route_asks_for_no_key(self):
         node = TenantNode({"a": tenant("k1")})
-        self.assertThat(of(node.send("t1", b"", OPEN)), Equals(("leg", None)))
-        self.assertThat(of(node.send("t2", b"unknown", OPEN)), Equals(("leg", None)))
-        self.assertThat(of(node.send("t3", b"k1", OPEN)), Equals(("leg", "a")))
+        self.assertThat(only_outcome(node.send("t1", b"", OPEN)), Equals(("attempt", None)))
+        self.assertThat(only_outcome(node.send("t2", b"unknown", OPEN)), Equals(("attempt", None)))
+        self.assertThat(only_outcome(node.send("t3", b"k1", OPEN)), Equals(("attempt", "a")))
 
     def test_without_tenants_no_key_is_asked_for(self):
         node = TenantNode({})
         for prefix in (OPEN, CLOSED):
-            self.assertThat(of(node.send(prefix, b"k1", prefix)), Equals(("leg", None)))
+            self.assertThat(
+                only_outcome(node.send(prefix, b"k1", prefix)), Equals(("attempt", None))
+            )
 
     def test_keys_of_any_letters(self):
         node = TenantNode({"a": tenant("clé-č"), "b": tenant("\ud800")})
-        self.assertThat(of(node.send("t", "clé-č".encode())), Equals(("leg", "a")))
-        self.assertThat(of(node.send("t", "clé".encode("latin1"))), Equals(UNKNOWN))
+        self.assertThat(only_outcome(node.send("t", "clé-č".encode())), Equals(("attempt", "a")))
+        self.assertThat(only_outcome(node.send("t", "clé".encode("latin1"))), Equals(UNKNOWN))
 
     # Guards against SHORT: a key that was added lately is refused for good by who can't know.
     def test_a_node_that_may_not_know_a_key_says_when_to_come_back(self):
@@ -72,7 +74,7 @@
         ):
             node = TenantNode({"a": tenant("k1")}, age_ms=age_ms)
             self.assertIsInstance(node.send("t", b"k2")["t"], kind)
-            self.assertThat(of(node.send("t", b"k1")), Equals(("leg", "a")))
+            self.assertThat(only_outcome(node.send("t", b"k1")), Equals(("attempt", "a")))
 
     # Guards against DENIED: a route that was added lately is refused for good by who can't know.
     def test_a_node_that_may_not_know_a_route_says_when_to_come_back(self):
@@ -110,21 +112,21 @@
     def test_a_key_that_moves_within_one_version(self):
         node = TenantNode({"a": tenant("k1"), "b": tenant("k2")})
         node.configure({"a": tenant("k2"), "b": tenant("k1")})
-        self.assertThat(of(node.send("t", b"k1")), Equals(("leg", "b")))
-        self.assertThat(of(node.send("t", b"k2")), Equals(("leg", "a")))
+        self.assertThat(only_outcome(node.send("t", b"k1")), Equals(("attempt", "b")))
+        self.assertThat(only_outcome(node.send("t", b"k2")), Equals(("attempt", "a")))
 
     def test_a_tenant_that_loses_its_last_key(self):
         """Keys are still asked for, even if no tenant has any."""
         node = TenantNode({"a": tenant("k1")})
         node.configure({"a": tenant()})
-        self.assertThat(of(node.send("t", b"k1")), Equals(UNKNOWN))
+        self.assertThat(only_outcome(node.send("t", b"k1")), Equals(UNKNOWN))
 
     def test_a_key_that_returns(self):
         node = TenantNode({"a": tenant("k1")})
         for held in (False, True, False, True):
             node.configure({"a": tenant("k1") if held else tenant()})
-            expected = ("leg", "a") if held else UNKNOWN
-            self.assertThat(of(node.send("t", b"k1")), Equals(expected))
+            expected = ("attempt", "a") if held else UNKNOWN
+            self.assertThat(only_outcome(node.send("t", b"k1")), Equals(expected))
 
 
 class Waiting(TestCase):
@@ -134,9 +136,10 @@
         self.assertThat((node.send("t1", b"k1"), node.send("t2", b"k2")), Equals(({}, {})))
         told = node.configure({"a": tenant("k2")})
         self.assertThat(
-            {token: words(outcome) for token, outcome in told.items()}, Equals({"t1": UNKNOWN})
+            {token: outcome_in_short(outcome) for token, outcome in told.items()},
+            Equals({"t1": UNKNOWN}),
         )
-        self.assertThat(of(node.load(True)), Equals(("leg", "a")))
+        self.assertThat(only_outcome(node.load(True)), Equals(("attempt", "a")))
 
     def test_its_place_is_given_back(self):
         node = TenantNode({"a": tenant("k1")}, loaded=False)
@@ -148,13 +151,13 @@
         node = TenantNode({"a": tenant("k1")}, loaded=False)
         node.send("t", b"k1")
         self.assertThat(node.configure({"b": tenant("k1")}), Equals({}))
-        self.assertThat(of(node.load(True)), Equals(("leg", "b")))
+        self.assertThat(only_outcome(node.load(True)), Equals(("attempt", "b")))
 
     def test_a_public_routes_goes_on_without_a_tenant(self):
         node = TenantNode({"a": tenant("k1")}, loaded=False)
         node.send("t", b"k1", OPEN)
         self.assertThat(node.configure({"a": tenant()}), Equals({}))
-        self.assertThat(of(node.load(True)), Equals(("leg", None)))
+        self.assertThat(only_outcome(node.load(True)), Equals(("attempt", None)))
 
 
 class Retried(TestCase):
@@ -168,14 +171,16 @@
             node = TenantNode({"a": tenant("k1")})
             node.send("t", b"k1")
             node.configure({"a": tenant()})
-            self.assertThat(of(node.fails("t", proof)), Equals(expected), proof)
+            self.assertThat(only_outcome(node.attempt_failed("t", proof)), Equals(expected), proof)
 
     def test_after_the_key_moved(self):
         for proof in ("not-run", "no-pipe", "unknown"):
             node = TenantNode({"a": tenant("k1")})
             node.send("t", b"k1")
             node.configure({"b": tenant("k1")})
-            self.assertThat(of(node.fails("t", proof)), Equals(("leg", "b")), proof)
+            self.assertThat(
+                only_outcome(node.attempt_failed("t", proof)), Equals(("attempt", "b")), proof
+            )
 
     def test_no_second_attempt_after_silence(self):
         """The one that is out began while the key was held, and goes on."""
@@ -194,7 +199,7 @@
             node.send("t", b"k1")
             node.configure(tenants_after)
             core = node.node
-            (reply,) = resuming.resume(core.router, NOW_MS, core.floor, CREW, "t", "")
+            (reply,) = resuming.resume(core.router, NOW_MS, core.floor, NODES, "t", "")
             self.assertIsInstance(reply.outcome, kind)
             self.assertThat(
                 getattr(reply.outcome, "tenant", None), Equals({Attempt: "b"}.get(kind))
@@ -215,7 +220,7 @@
     def test_no_key_is_kept_with_a_request(self):
         node = TenantNode({"a": tenant("secret-key")})
         node.send("t", b"secret-key")
-        self.assertThat("secret" in repr((node.task("t"), node.told["t"])), Equals(False))
+        self.assertThat("secret" in repr((node.task("t"), node.requests["t"])), Equals(False))
 
     def test_operators_read_fingerprints(self):
         node = TenantNode({"a": tenant("secret-key"), "b": tenant()}).node
--- a/tests/test_tenant_sequences.py
+++ b/tests/test_tenant_sequences.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tenant_harness import CLOSED, OPEN, ROUTE_RANK, TRIES, TenantNode, tenant, words
+from tenant_harness import CLOSED, OPEN, ROUTE_RANK, TRIES, TenantNode, outcome_in_short, tenant
 from testtools import TestCase
 from testtools.matchers import Equals
 from transport import failures
@@ -13,7 +13,7 @@
 NAMES = ("a", "b", "c")
 KEYS = ("k1", "k2", "k3", "k4")
 RANKS = (None, 0, 9)
-UNKNOWN, SPENT, MAY_HAVE_RUN = ("refused", 401), ("refused", 503), ("refused", 502)
+UNKNOWN, EXHAUSTED, MAY_HAVE_RUN = ("refused", 401), ("refused", 503), ("refused", 502)
 
 
 @dataclass
@@ -21,7 +21,7 @@
     key: str
     public: bool
     state: str = "new"
-    sent: int = 0
+    attempts: int = 0
     may_have_run: bool = False
 
 
@@ -39,32 +39,32 @@
         """What a request is told when it is its turn; None: nothing yet."""
         holder = self._holder(request.key)
         if holder is None and self.tenants and not request.public:
-            return self._over(request, UNKNOWN)
-        if request.sent >= TRIES:
-            return self._over(request, SPENT)
+            return self._end(request, UNKNOWN)
+        if request.attempts >= TRIES:
+            return self._end(request, EXHAUSTED)
         if not self.loaded:
             request.state = "waits"
             return None
-        request.state, request.sent = "runs", request.sent + 1
+        request.state, request.attempts = "runs", request.attempts + 1
         rank = self.tenants[holder]["rank"] if holder else None
-        return ("leg", holder, ROUTE_RANK if rank is None else rank)
+        return ("attempt", holder, ROUTE_RANK if rank is None else rank)
 
-    def _over(self, request, outcome):
+    def _end(self, request, outcome):
         request.state = "over"
         return MAY_HAVE_RUN if request.may_have_run else outcome
 
-    def _turns(self):
+    def _retry_waiting(self):
         waiting = {t: r for t, r in self.requests.items() if r.state == "waits"}
-        told = {token: self._attempt(request) for token, request in waiting.items()}
-        return {token: outcome for token, outcome in told.items() if outcome}
+        outcomes = {token: self._attempt(request) for token, request in waiting.items()}
+        return {token: outcome for token, outcome in outcomes.items() if outcome}
 
     def configure(self, tenants):
         self.tenants = tenants
-        return self._turns()
+        return self._retry_waiting()
 
     def load(self, loaded):
         self.loaded = loaded
-        return self._turns()
+        return self._retry_waiting()
 
     def send(self, token, key, public):
         request = PlainRequest(key, public)
@@ -72,7 +72,7 @@
         outcome = self._attempt(request)
         return {token: outcome} if outcome else {}
 
-    def fails(self, token, proof):
+    def attempt_failed(self, token, proof):
         request = self.requests[token]
         request.may_have_run = request.may_have_run or proof == "unknown"
         outcome = self._attempt(request)
@@ -84,7 +84,9 @@
 
 def in_short(outcomes):
     return {
-        token: words(o) if isinstance(o, failures.Failure) else ("leg", o.tenant, o.rank)
+        token: outcome_in_short(o)
+        if isinstance(o, failures.Failure)
+        else ("attempt", o.tenant, o.rank)
         for token, o in outcomes.items()
     }
 
@@ -137,7 +139,10 @@
                 if not running:
                     continue
                 token = running[turn % len(running)]
-                found, expected = node.fails(token, proof), model.fails(token, proof)
+                found, expected = (
+                    node.attempt_failed(token, proof),
+                    model.attempt_failed(token, proof),
+                )
             self.assertThat(in_short(found), Equals(expected), f"{number} of {steps}")
             over = {t for t, r in model.requests.items() if r.state == "over"}
             self.assertThat(over & node.node.router.tasks.keys(), Equals(set()))
