--- a/tests/quota_faults.py
+++ b/tests/quota_faults.py
@@ -1,4 +1,4 @@
-"""Days of troubles for the nodes and depots of `quota_world`, each decided by a seed."""
+"""Simulated days with faults for the nodes and depots of `quota_world`; a seed decides each day."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 def tenants(flooded=2):
-    """Tenants below their limits, and some that send many times as much as usual."""
+    """Tenants that keep below their limits, and some that send a multiple of their usual load."""
     found = {}
     for number, (load, burst) in enumerate([(0.4, 2), (1, 3), (3, 5), (10, 10), (25, 20)]):
         found[f"calm{number}"] = tenant(f"calm{number}", 1.6 * load, burst, load)
@@ -25,7 +25,7 @@
 
 
 def faulty_day(seed):
-    """Everything at once: no two troubles know of one another."""
+    """Independent faults at random times, all on one day."""
     rng = random.Random(f"troubles {seed}")
     depots = rng.choice([3, 5])
     world = World(seed, tenants(), 12, depots)
@@ -59,7 +59,7 @@
 
 
 def _partition(world, rng):
-    """Some nodes and depots can't hear one another, in one direction or both."""
+    """Some nodes and depots can't reach each other, in one direction or both."""
     counters = rng.sample(sorted(world.counters), 6)
     depots = rng.sample(sorted(world.depots), rng.randrange(1, len(world.depots) + 1))
     to_depots = [(c, d) for c in counters for d in depots]
@@ -76,8 +76,7 @@
 
 
 def _replaced_member(world, rng):
-    """A depot is cut off from the group and goes on granting; it is removed, and a
-    successor takes its place."""
+    """A depot is cut off from the group and goes on granting; it is removed and replaced."""
     gone, at_ms = _depot(world, rng), rng.uniform(3000, 12_000)
     remaining = [name for name in world.depots if name != gone]
     world.at(at_ms, world.cut_off_group.add, gone)
@@ -86,7 +85,7 @@
 
 
 def _resized_group(world, rng):
-    """The group grows and shrinks; one that goes may not know it."""
+    """The group grows and shrinks; a removed member may not learn of it."""
     names = sorted(world.depots)
     larger = names + [f"n{number}" for number in range(5 - len(names))]
     first, second = sorted(rng.uniform(3000, 16_000) for _ in range(2))
--- a/tests/quota_records.py
+++ b/tests/quota_records.py
@@ -1,4 +1,5 @@
-"""Requests of tenants as they were sent and run, and the exact count of every window."""
+"""Requests of tenants with the times at which they were sent and ended, and the exact count in
+every window."""
 
 from dataclasses import dataclass
 
@@ -11,6 +12,8 @@
 
 @dataclass
 class Request:
+    """A request, when its client sent it and how it ended."""
+
     tenant: str
     sent_ms: float
     counter: str
@@ -20,7 +23,8 @@
 
 @dataclass
 class Tenant:
-    """`limits`: (from when, Limit); `load`: requests a second; `hot`: (from, to, times)."""
+    """A simulated tenant.  `limits`: (valid from, RateLimit); `load`: requests a second; `hot`:
+    (from, to, factor) of a burst of load."""
 
     limits: list
     load: float
@@ -34,7 +38,8 @@
         return self.load * (times if from_ms <= now_ms < to_ms else 1.0)
 
     def max_requests(self, start_ms, settings):
-        """The loosest bound that a window from `start_ms` may be held to."""
+        """The loosest bound that applies to a window starting at `start_ms`, given that limits
+        change."""
         first_ms = start_ms - settings.window_ms - SETTLED_MS
         kept = [self.limit(max(0.0, first_ms))]
         kept += [x for at_ms, x in self.limits if first_ms < at_ms <= start_ms + settings.window_ms]
@@ -46,8 +51,8 @@
 
 
 def worst_window(runs, tenant, settings):
-    """(requests over the bound, requests, the bound) of the worst window: the plain count
-    of those that were both sent and run in it, for each window that begins with one."""
+    """(excess over the bound, requests, the bound) of the worst window.  Requests that were both
+    sent and run in a window are counted, for each window that starts with a request."""
     runs = sorted(runs, key=lambda r: r.sent_ms)
     found = (-1e9, 0, 0.0)
     for first, request in enumerate(runs):
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -1,11 +1,11 @@
 """Nodes that spend tenants' tokens and depots that grant them, on simulated time.
 
-`held_up`: from when to when answers to nodes are held up, and then come all at once.
-`asks_all_depots`: nodes ask every depot there ever was, as those do that hear of a change
-of the group late.
+`delivery_pause`: (from, to); answers to nodes within it are delivered all at once at its end.
+`asks_all_depots`: nodes ask every depot there ever was, as nodes do that learn late of a change of
+the group.
 
-What is judged is the exact count over all nodes: for each request when its client sent it
-and when an engine began to run it.  Nothing sleeps; a seed decides everything.
+What counts is, for each request over all nodes, when its client sent it and when an engine began
+to run it.  Nothing sleeps; a seed decides everything.
 """
 
 import heapq
@@ -22,6 +22,8 @@
 
 @dataclass
 class Counter:
+    """A routing node, which spends tokens."""
+
     spending: spending.SpendingState
     waiting: dict = field(default_factory=dict)
     paused_until_ms: float = 0.0
@@ -30,6 +32,8 @@
 
 @dataclass
 class Depot:
+    """A log node, which grants tokens."""
+
     identity: str
     eligibility: grant_shares.GrantEligibility
     granting: granting.GrantingState
@@ -41,6 +45,8 @@
 
 
 class World:
+    """All nodes, tenants and messages of one run."""
+
     def __init__(self, seed, tenants, counters=12, depots=5, settings=SETTINGS):
         self.random = random.Random(seed)
         self.settings, self.tenants = settings, tenants
@@ -128,7 +134,7 @@
         request.outcome = "run" if granted else "refused"
         request.ended_ms = self.now_ms + (self.random.uniform(0.3, 2.0) if granted else 0.0)
 
-    # --- counters
+    # --- routing nodes (counters)
 
     def _tick(self, name):
         counter = self.counters[name]
@@ -182,7 +188,7 @@
         )
         self._send(to, sender, granting.on_request(node.granting, self.now_ms, message, share))
 
-    # --- depots and their group
+    # --- log nodes (depots) and their group
 
     def _start_depot(self, name, restarted=False):
         life = self.depots[name].life + 1 if name in self.depots else 0
@@ -195,7 +201,7 @@
         self.after(self.random.uniform(0, HEARTBEAT_INTERVAL_MS), self._send_heartbeat, name, life)
 
     def _send_heartbeat(self, name, life):
-        """Ask the group for a mark, and have it a little later."""
+        """Ask the group for a heartbeat, and get it a little later."""
         depot = self.depots[name]
         if depot.life != life or not depot.alive:
             return
@@ -225,7 +231,7 @@
         grant_shares.observe(depot.eligibility, self.now_ms, depot.members, self.founders)
 
     def set_members(self, *names):
-        """A membership is committed; newcomers begin, and counters learn of it in a while."""
+        """Commit a membership: new members start, and routing nodes learn of it after a while."""
         for name in names:
             if name not in self.depots:
                 self._start_depot(name)
@@ -247,17 +253,18 @@
         self.cut |= set(links)
         self.after(span_ms, self.cut.difference_update, set(links))
 
-    # --- the judgement
+    # --- checks
 
     def worst(self, tenant):
-        """(requests run over the bound, requests run, the bound) in the worst window."""
+        """(excess over the bound, requests run, the bound) in the worst window."""
         runs = [r for r in self.requests if r.tenant == tenant and r.outcome == "run"]
         return worst_window(runs, self.tenants[tenant], self.settings)
 
     def broken(self):
-        """The tenants that got more than their bound in some window."""
+        """The tenants that exceeded their bound in some window."""
         return {t: self.worst(t) for t in self.tenants if self.worst(t)[0] > 0}
 
     def share(self, outcome, tenants):
+        """The fraction of these tenants' requests that ended so."""
         asked = [r for r in self.requests if r.tenant in tenants]
         return sum(r.outcome == outcome for r in asked) / max(1, len(asked))
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -1,4 +1,4 @@
-"""As much of a node as a caller's request passes through, with tenants and their keys."""
+"""The part of a node that a caller's request passes through, with tenants and their keys."""
 
 import json
 from types import SimpleNamespace
@@ -40,7 +40,7 @@
 
 
 def tenant(*keys, rank=None):
-    """The facts of one tenant."""
+    """The configuration of one tenant."""
     return {"keys": list(keys), "ratePerS": 0.0, "burst": 0.0, "rank": rank}
 
 
@@ -59,8 +59,8 @@
 
 
 class TenantNode:
-    """`send`, `fails`, `configure` and `load` do one thing each and return
-    {token: outcome} of what requests are told by it: a Leg or a failure."""
+    """`send`, `attempt_failed`, `configure` and `load` do one thing each and return {token:
+    outcome} of the requests that it decides: an Attempt or a failure."""
 
     def __init__(self, tenants=None, loaded=True, age_ms=0.0):
         engines = {f"e{n}": engine_facts(f"e{n}", "s", slots=64, roomMb=10) for n in range(ENGINES)}
@@ -79,7 +79,7 @@
         self.load(loaded)
 
     def configure(self, tenants):
-        """A configuration with these tenants is in force from now on."""
+        """Put a configuration with these tenants in force."""
         self._stamp += 1
         routes = {"open": _route(OPEN, True), "closed": _route(CLOSED, False)}
         section = {**written.section(routes, _SERVICES), "tenants": tenants}
@@ -89,7 +89,7 @@
         return self._retry_waiting()
 
     def load(self, loaded):
-        """The engines have the model, or none has it."""
+        """Load the model on all engines, or unload it from all."""
         ledger = floors.ledger_of(self.node.floor, world.shard_of("s", SHARDS))
         for engine in self.node.floor.registry.engines:
             verb = "load" if loaded else "unload"
@@ -104,7 +104,7 @@
         return _outcomes(router.retry_waiting(node.router, self.now_ms, node.floor, 0.0, NODES))
 
     def send(self, token, key, prefix=CLOSED):
-        """A request comes in with a key, as bytes."""
+        """A request comes in with a key, given as bytes."""
         request = {
             "id": token,
             "host": HOST,
@@ -120,13 +120,13 @@
         return _outcomes(passages.begin(self.node, self.now_ms, token, request, NODES))
 
     def attempt_failed(self, token, proof):
-        """An attempt of a request ended without an answer."""
+        """An attempt of a request ended without a response."""
         node = self.node
         effects = router.ended(node.router, self.now_ms, node.floor, 0.0, NODES, token, proof)
         return _outcomes(effects)
 
     def silent(self, token):
-        """An attempt of a request has had no answer for long."""
+        """An attempt of a request has had no response for long."""
         node = self.node
         return _outcomes(
             router.attempt_silent(node.router, self.now_ms, node.floor, 0.0, NODES, token)
@@ -141,7 +141,7 @@
 
 
 def outcome_in_short(outcome):
-    """An outcome in short: the tenant of a Leg, or the status of a failure."""
+    """An outcome in short: the tenant of an Attempt, or the status of a failure."""
     if isinstance(outcome, Attempt):
         return ("attempt", outcome.tenant)
     assert isinstance(outcome, failures.Failure), outcome
--- a/tests/test_platform_cold_engines.py
+++ b/tests/test_platform_cold_engines.py
@@ -1,4 +1,4 @@
-"""A cold engine bears no more than its rate, however many counters press on it."""
+"""A cold engine gets no more than its warm-up rate, however many routing nodes send to it."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def request_times(count, per_s, seed, span_ms=5000.0):
-    """When a cold engine is sent requests by `count` counters that never pause."""
+    """When `count` routing nodes that send as fast as they may send to a cold engine."""
     rng, names = random.Random(seed), tuple(f"c{n}" for n in range(count))
     service = {"warmPerS": per_s, "warmMs": 60000.0}
     sent_ms = []
@@ -49,20 +49,20 @@
     return most
 
 
-class Cold(TestCase):
-    def test_no_second_has_more_than_it_bears(self):
+class ColdEngines(TestCase):
+    def test_no_second_exceeds_the_rate(self):
         for count in range(1, 101):
             for per_s in (1.0, 7.0, 33.0):
                 most = max_per_second(request_times(count, per_s, count, 3000.0))
                 self.assertThat(most, LessThan(per_s * 1.5 + 5 + 1e-9), f"{count} {per_s}")
 
-    def test_it_is_used_all_the_same(self):
+    def test_at_least_half_of_the_rate_is_used(self):
         for count in (1, 3, 8, 30, 100):
             for per_s in (2.5, 7.0, 20.0):
                 sent_ms = request_times(count, per_s, count)
                 self.assertThat(len(sent_ms) / 5, GreaterThan(0.5 * per_s), f"{count} {per_s}")
 
-    def test_none_goes_to_one_that_bears_none(self):
+    def test_a_rate_of_zero(self):
         for count in (1, 5, 50):
             self.assertThat(len(request_times(count, 0.0, count)), LessThan(6))
 
--- a/tests/test_platform_keys.py
+++ b/tests/test_platform_keys.py
@@ -1,4 +1,5 @@
-"""Tenants and their keys on real processes: what engines are told, and whom they run."""
+"""Tenants and their API keys on real processes: the tenant that engines are sent, and the requests
+that they run."""
 
 import random
 import tempfile
@@ -63,7 +64,7 @@
         fleet.until(lambda: len(fleet.ready()) == 3)
 
     def answer(self, counter, key, route=None, headers=()):
-        """(status, what the engine that ran it was told of its sender, its class)"""
+        """(status, the tenant and class that the engine was sent with the request)"""
         request = callers.made(self.rng, route or self.closed)
         request = replace(request, key=key, headers=headers)
         address = self.fleet.address(counter, "counter")
@@ -72,24 +73,24 @@
         ran = [a for e in self.fleet.platform.engines() for _, a in e.ran if a.id == last.id]
         return (last.status, *[(a.sender, a.rank) for a in ran])
 
-    def everywhere(self, key, expected):
-        """Until each node answers so."""
+    def wait_on_all_nodes(self, key, expected):
+        """Wait until every node gives this answer."""
         for counter in self.fleet.counters:
             self.fleet.until(lambda c=counter: self.answer(c, key) == expected)
 
     def change(self, expect, edition, *senders):
-        told = {"edition": edition, "upsert": {"senders": list(senders)}}
-        self.assertThat(self.operator.send("PATCH", "/config", told, expect), Equals(200))
+        change = {"edition": edition, "upsert": {"senders": list(senders)}}
+        self.assertThat(self.operator.send("PATCH", "/config", change, expect), Equals(200))
 
-    # Guards against UNASKED and ROUTE: engines were told the client's key and whatever
-    # tenant it claimed, and ran requests with keys that nobody holds.
+    # Rules UNASKED and ROUTE: engines were sent the client's key and whatever tenant the client
+    # claimed, and ran requests with keys that no tenant holds.
     def test_keys(self):
-        self.names_the_tenant()
-        self.follows_changes()
+        self.check_tenant_names()
+        self.check_changes()
         engines = self.fleet.platform.engines()
         self.assertThat([w for e in engines for w in e.wrong], Equals([]))
 
-    def names_the_tenant(self):
+    def check_tenant_names(self):
         forged = ("X-Sender: b", "x-sender: a", "Connection: X-Sender, X-Credential")
         for counter in self.fleet.counters:
             for key, expected in (
@@ -107,13 +108,13 @@
                 found = self.answer(counter, key, self.open, ("X-Sender: a",))
                 self.assertThat(found, Equals((200, expected)), key)
 
-    def follows_changes(self):
+    def check_changes(self):
         self.change(3, 4, sender("a", "k-2"), sender("b", "k-3", "k-1"))
-        self.everywhere("k-1", (200, ("b", 5)))
-        self.everywhere("k-2", (200, ("a", 5)))
+        self.wait_on_all_nodes("k-1", (200, ("b", 5)))
+        self.wait_on_all_nodes("k-2", (200, ("a", 5)))
         self.change(4, 5, sender("a"), sender("b", "k-3"))
         for key in ("k-1", "k-2"):
-            self.everywhere(key, (401,))
+            self.wait_on_all_nodes(key, (401,))
         self.change(5, 6, sender("a", "k-1"))
-        self.everywhere("k-1", (200, ("a", 5)))
-        self.everywhere("k-2", (401,))
+        self.wait_on_all_nodes("k-1", (200, ("a", 5)))
+        self.wait_on_all_nodes("k-2", (401,))
--- a/tests/test_platform_pool.py
+++ b/tests/test_platform_pool.py
@@ -1,4 +1,4 @@
-"""Pipes to engines: kept for the next leg only while nothing is in doubt."""
+"""The pool of connections to engines: a connection is reused only if there is no doubt about it."""
 
 import socket
 import threading
@@ -19,7 +19,7 @@
         return self.now_s
 
 
-class Kept(TestCase):
+class Pooled(TestCase):
     def setUp(self):
         super().setUp()
         self.clock = Clock()
@@ -41,13 +41,13 @@
         self.addCleanup(connection.close)
         return connection if is_pooled else None
 
-    def test_kept_once_for_its_own_address(self):
+    def test_reused_once_for_the_same_address(self):
         connection = self.release(10)
         self.assertThat(self.acquire("http://f"), Equals(None))
         self.assertThat(self.acquire(), Equals(connection))
         self.assertThat(self.acquire(), Equals(None))
 
-    def test_a_leg_that_must_not_run_twice_takes_none(self):
+    def test_a_request_that_must_not_run_twice_gets_a_new_connection(self):
         connection = self.release(10)
         self.assertThat(self.acquire(fresh=True), Equals(None))
         self.assertThat(self.acquire(), Equals(connection))
@@ -62,7 +62,7 @@
         self.engine_end.close()
         self.assertThat(self.acquire(), Equals(None))
 
-    def test_not_past_its_time(self):
+    def test_not_after_it_expired(self):
         for keep_s, elapsed_s, good in (
             (10, 5.0, True),
             (10, 9.0, False),
@@ -87,8 +87,9 @@
             found.append(connection)
         self.assertThat(found, Equals(given[-1:-33:-1]))
 
-    def test_connections_of_engines_that_have_gone_are_closed(self):
-        """Nobody asks for their addresses any more, and others are given back."""
+    def test_connections_to_removed_engines_are_closed(self):
+        """Nobody acquires connections to their addresses any more, while others are still
+        released."""
         closed = []
         self.patch(
             connection_pool.Connection, "close", lambda connection: closed.append(connection)
@@ -100,8 +101,8 @@
         self.assertThat((closed, list(self.pool._idle)), Equals(([gone], ["http://f"])))
 
 
-class Told(TestCase):
-    def test_how_long_an_engine_keeps_a_pipe(self):
+class KeepAlive(TestCase):
+    def test_announced_idle_timeout(self):
         for value, seconds in (
             ("timeout=5", 5),
             ("timeout=5, max=100", 5),
@@ -118,7 +119,7 @@
 
 
 class Engine:
-    """Answers each request on a connection with the next of `answers`; counts both."""
+    """Answers each request on a connection with the next of `answers`, and counts both."""
 
     def __init__(self, *answers):
         self._answers, self.connections, self.requests = list(answers), 0, []
@@ -162,7 +163,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
-class Served(TestCase):
+class Reuse(TestCase):
     def get(self, engine, pool, fresh=False):
         source = proxying.stream(
             pool,
@@ -176,14 +177,14 @@
         return b"".join(v for k, v in events if k == "data"), events[-1][1].code
 
     def connections(self, first, fresh=False):
-        """How many connections two requests take, the first answered so."""
+        """How many connections two requests take if the first is answered with `first`."""
         engine, pool = Engine(first, answer(b"two"), answer(b"three")), ConnectionPool()
         self.addCleanup(engine.close)
         self.get(engine, pool)
         self.assertThat(self.get(engine, pool, fresh), Equals((b"two", 200)))
         return engine.connections
 
-    def test_reused_after_a_whole_answer(self):
+    def test_reused_after_a_complete_response(self):
         self.assertThat(self.connections(answer(b"one", "Keep-Alive: timeout=60")), Equals(1))
 
     def test_not_reused(self):
@@ -196,7 +197,7 @@
             self.assertThat(self.connections(first), Equals(2), first)
         self.assertThat(self.connections(answer(b"one", "Keep-Alive: timeout=60"), True), Equals(2))
 
-    def test_bytes_after_an_answer_belong_to_none(self):
+    def test_surplus_bytes_are_dropped_with_the_connection(self):
         engine = Engine(answer(b"one", "Keep-Alive: timeout=60") + answer(b"stray"), answer(b"two"))
         self.addCleanup(engine.close)
         pool = ConnectionPool()
@@ -204,7 +205,7 @@
             [self.get(engine, pool)[0], self.get(engine, pool)[0]], Equals([b"one", b"two"])
         )
 
-    def test_sent_as_it_came(self):
+    def test_the_target_is_sent_unchanged(self):
         engine = Engine(answer(b"one"))
         self.addCleanup(engine.close)
         self.get(engine, ConnectionPool())
--- a/tests/test_platform_relaying.py
+++ b/tests/test_platform_relaying.py
@@ -1,4 +1,5 @@
-"""A caller's answer from made-up legs: the engine's own, whole, and joined exactly."""
+"""Responses to callers from scripted attempts: only the engine's own, complete, and joined without
+gap or repetition."""
 
 import time
 
@@ -32,11 +33,11 @@
 
 
 class Relayed(TestCase):
-    """`legs`: what comes of each leg in turn; `silent`: what is said of a silent one."""
+    """`attempts`: the events of each attempt in turn; `silent`: the decision on a silent
+    attempt."""
 
     def relay(self, attempts, facts, silent=None, environ=None, left_ms=None, **request):
-        """`left_ms`: how much time each attempt that is decided has left, if it is told;
-        there are no more attempts then."""
+        """`left_ms`: the remaining time of each attempt, if given; no more attempts follow then."""
         sources, self.requests, self.proofs, self.closed = list(attempts), [], [], []
         ends_ms = None if left_ms is None else [time.monotonic() * 1000 + ms for ms in left_ms]
         spent = failures.OutcomeUnknown("leg-broken")
@@ -77,7 +78,7 @@
         )
 
     def body(self, response):
-        """(bytes, whether they ended in order)."""
+        """(bytes, whether the body ended properly)."""
         got = b""
         try:
             for part in response.iter_encoded():
@@ -89,7 +90,7 @@
         return got, True
 
 
-class Whole(Relayed):
+class WholeResponses(Relayed):
     def test_unchanged(self):
         for code in (200, 404, 500):
             response = self.relay(
@@ -105,8 +106,8 @@
                 (sent.method, sent.url, sent.body), Equals(("POST", "http://e0/a/b?c", b"q"))
             )
 
-    def test_foreign_answers_are_never_passed_on(self):
-        """Another request's id, or a success without stamp."""
+    def test_foreign_responses_are_never_passed_on(self):
+        """With the id of another request, or a success without a stamp."""
         for headers in (
             (("X-Try-Id", "t2"), ("X-Postmark", "p")),
             (("X-Try-Id", "t1"),),
@@ -130,14 +131,14 @@
             self.assertThat(self.relay([bad], PLAIN).status_code, Equals(502))
             self.assertThat(self.proofs, Equals(["unknown"]))
 
-    def test_what_has_not_run_goes_elsewhere(self):
+    def test_a_refused_request_is_sent_elsewhere(self):
         refused = [head(503, (("X-Try-Id", "t1"), ("X-Not-Run", "full"))), ("end", COMPLETE)]
         good = [head(), *data(b"ok"), ("end", COMPLETE)]
         response = self.relay([refused, good], {**PLAIN, "repeatable": False})
         self.assertThat(self.body(response), Equals((b"ok", True)))
         self.assertThat(self.proofs, Equals(["not-run", "done"]))
 
-    def test_a_cut_answer_is_not_passed_on(self):
+    def test_a_cut_response_is_not_passed_on(self):
         cut = [head(), *data(b"half"), ("end", CUT_OFF)]
         response = self.relay([cut], {**PLAIN, "repeatable": False})
         self.assertThat(response.status_code, Equals(502))
@@ -150,8 +151,8 @@
             self.relay([[("end", AttemptEnd(0, b"", begun))]], PLAIN)
             self.assertThat(self.proofs, Equals([proof]))
 
-    def test_the_last_failure_is_told_whole(self):
-        """Of legs that all fail, the engine's own answer, whole."""
+    def test_the_last_failure_is_passed_on_completely(self):
+        """If all attempts fail, the last engine's own response is passed on completely."""
         for facts in (PLAIN, STREAM):
             bad = [
                 head(500, OWN + (("Content-Length", "5"),)),
@@ -164,15 +165,15 @@
             )
             self.assertThat(self.proofs, Equals(["unknown", "unknown"]))
 
-    def test_a_failure_that_is_cut_is_not_told(self):
+    def test_a_failure_that_is_cut_is_not_passed_on(self):
         for facts in (PLAIN, STREAM):
             bad = [head(500, OWN + (("Content-Length", "5"),)), *data(b"oo"), ("end", CUT_OFF)]
             response = self.relay([bad], facts)
             self.assertThat(response.status_code, Equals(502))
 
 
-class Silent(Relayed):
-    def test_it_goes_on(self):
+class SilentAttempts(Relayed):
+    def test_the_silent_attempt_is_kept(self):
         for facts in (PLAIN, STREAM):
             response = self.relay(
                 [[("silent", None), ("idle", None), head(), *data(event(1)), ("end", COMPLETE)]],
@@ -182,8 +183,8 @@
             self.assertThat(self.body(response), Equals((event(1), True)))
             self.assertThat((self.proofs, len(self.closed)), Equals((["done"], 1)))
 
-    def test_another_leg_in_its_place(self):
-        """What the first one says later is heard by nobody."""
+    def test_it_is_replaced_by_another_attempt(self):
+        """A late response of the first attempt is ignored."""
         for facts in (PLAIN, STREAM):
             response = self.relay(
                 [
@@ -197,7 +198,7 @@
                 (self.closed, self.proofs), Equals((["http://e0", "http://e1"], ["done"]))
             )
 
-    def test_another_leg_of_a_stream_that_broke(self):
+    def test_a_silent_attempt_to_resume_is_replaced(self):
         response = self.relay(
             [
                 [head(), *data(event(1)), ("end", CUT_OFF)],
@@ -208,15 +209,15 @@
         )
         self.assertThat(self.body(response), Equals((event(1) + event(2), True)))
 
-    def test_an_end(self):
-        """The silent leg may have run, so nothing may promise that it hasn't."""
+    def test_no_promise_after_silence(self):
+        """The silent attempt may have run, so the response must not promise that it hasn't."""
         failure = failures.Overloaded(1000, "all-busy")
         response = self.relay([[("silent", None)]], PLAIN, silent=failure)
         self.assertThat((response.status_code, len(self.closed)), Equals((502, 1)))
 
 
 class Streams(Relayed):
-    def test_as_it_came(self):
+    def test_passed_on_unchanged(self):
         for facts in (STREAM, {**STREAM, "resumable": False, "repeatable": False}):
             response = self.relay(
                 [
@@ -233,8 +234,8 @@
             self.assertThat(self.body(response), Equals((event(1) + event(2) + event(3), True)))
             self.assertThat(self.proofs, Equals(["done"]))
 
-    def test_only_whole_events(self):
-        """Each part that leaves ends an event, whatever the parts were that came."""
+    def test_only_complete_events(self):
+        """Each chunk that is passed on ends with an event, however the stream was divided."""
         whole = b"".join(event(n) for n in range(1, 9))
         for size in range(1, 40):
             parts = [whole[at : at + size] for at in range(0, len(whole), size)]
@@ -243,7 +244,7 @@
             self.assertThat(b"".join(out), Equals(whole))
             self.assertTrue(all(part.endswith(b"\n\n") for part in out))
 
-    def test_joined_where_it_broke_off(self):
+    def test_joined_where_it_broke(self):
         whole = b"".join(event(n) for n in range(1, 7))
         for at in range(1, len(whole)):
             done = whole[:at].count(b"\n\n")
@@ -299,8 +300,9 @@
         self.assertThat(response.headers["X-Postmark"], Equals("p"))
         self.assertThat(self.body(response), Equals((event(1) + event(2), True)))
 
-    def test_cut_otherwise(self):
-        """Not resumable, no other engine, or one whose answer isn't good."""
+    def test_cut_if_it_cannot_be_resumed(self):
+        """It isn't resumable, there is no other engine, or the other engine's response is
+        invalid."""
         first = [head(), *data(event(1), event(2)[:3]), ("end", CUT_OFF)]
         foreign = [head(200, (("X-Try-Id", "t2"), ("X-Postmark", "p"))), *data(event(2))]
         failed = [head(500), *data(b"no"), ("end", AttemptEnd(500, b"", True))]
@@ -319,7 +321,7 @@
             self.assertThat(self.body(response), Equals((got, False)))
             self.assertThat(len(self.closed), Equals(len(self.requests)))
 
-    def test_a_caller_who_leaves(self):
+    def test_a_caller_that_leaves(self):
         response = self.relay([[head(), *data(event(1), event(2)), ("end", COMPLETE)]], STREAM)
         self.assertThat(next(response.iter_encoded()), Equals(event(1)))
         response.close()
--- a/tests/test_platform_routes.py
+++ b/tests/test_platform_routes.py
@@ -1,4 +1,4 @@
-"""Which route takes a request, against a plain model, and where a split sends it."""
+"""The route that a request takes, against a plain model, and the service that a split selects."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def registry_of(made):
-    """A registry whose written layout has these routes."""
+    """A registry whose layout has these routes."""
     found = {
         n: {"kind": "safe", "holdMs": 1.0, "split": [{"service": "s", "weight": 1.0}], **r}
         for n, r in made.items()
@@ -19,7 +19,7 @@
 
 
 def plain(made, host, path):
-    """Every route looked at, the longest prefix taken."""
+    """The plain model: tries every route and takes the longest prefix."""
     path = path.split("?")[0]
     fitting = [
         (len(r["prefix"]), n)
@@ -34,7 +34,7 @@
     return "/" + "".join(part + "/" for part in parts)
 
 
-class Longest(TestCase):
+class LongestPrefix(TestCase):
     def test_against_a_plain_model(self):
         for seed in range(60):
             rng, made = random.Random(seed), {}
@@ -51,7 +51,7 @@
                     found and found[0], Equals(plain(made, host, path)), f"{seed} {host} {path}"
                 )
 
-    def test_a_path_that_only_nearly_begins_so(self):
+    def test_near_matches(self):
         registry = registry_of({"r": {"host": "x", "prefix": "/a/b/"}})
         for path, fits in (
             ("/a/b/", True),
@@ -89,7 +89,7 @@
         for id_ in ["", "\xff"] + [f"{rng.getrandbits(64):x}" for _ in range(200)]:
             self.assertThat(len({routes.service_for(route, id_) for _ in range(5)}), Equals(1))
 
-    def test_nothing_goes_where_no_weight_is(self):
+    def test_services_without_weight_get_nothing(self):
         for split in (
             [("a", 0.0), ("b", 1e-9)],
             [("a", 1.0), ("b", 0.0)],
--- a/tests/test_platform_silent_attempts.py
+++ b/tests/test_platform_silent_attempts.py
@@ -1,5 +1,5 @@
-"""A leg that stays silent: another one elsewhere, or it goes on; it is never ended for
-nothing."""
+"""An attempt without a response for long is replaced by one at another engine or kept waiting, but
+never ended without a replacement."""
 
 from configuration import passages
 from configuration.registry import Registry
@@ -13,7 +13,7 @@
 NODES = choice.RoutingNodes("c0", ("c0",), "z")
 
 
-class Silent(TestCase):
+class SilentAttempts(TestCase):
     def setUp(self):
         super().setUp()
         section = passages.section({}, {"s": {"kind": "plain", "warmPerS": 0.0, "warmMs": 0.0}})
@@ -68,7 +68,7 @@
         self.assertThat(first.engine == second.engine, Equals(False))
         self.assertThat(state.in_flight[first.engine], Equals(0))
 
-    def test_not_what_may_run_once_or_is_spent(self):
+    def test_not_if_unrepeatable_or_without_attempts_left(self):
         for facts in ({"repeatable": False}, {"max_attempts": 1}):
             state = self.router(5.0)
             self.begin(state, **facts)
@@ -82,8 +82,8 @@
             del self.floor.registry.engines[name]
         self.assertThat((self.silent(state), len(state.tasks)), Equals((KeepWaiting(), 1)))
 
-    def test_a_spent_budget_does_not_end_the_leg_that_is_out(self):
-        """Silence gives no reason to end an answer: it goes on if it can't be replaced."""
+    def test_an_exhausted_budget_does_not_end_the_attempt_in_flight(self):
+        """Silence alone doesn't end an attempt: it goes on if it can't be replaced."""
         state = self.router(2.0)
         for number in range(2):
             self.begin(state, f"t{number}")
@@ -97,7 +97,7 @@
         )
         self.assertTrue(budget.retries <= retries)
 
-    def test_nor_does_a_layout_that_is_old(self):
+    def test_nor_does_a_stale_layout(self):
         state = self.router(5.0, stale=500.0)
         self.begin(state)
         self.assertThat(
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -1,4 +1,4 @@
-"""What a node does with attempts that were decided before it stood still for a while."""
+"""Attempts that were decided before the process was paused for a while."""
 
 import socket
 
@@ -7,10 +7,10 @@
 from testtools.matchers import Equals
 
 
-class Thawed(Relayed):
-    """Attempts that have little time left, or whose caller has gone."""
+class AfterPause(Relayed):
+    """Attempts with little or no time left, or whose caller has left."""
 
-    def test_nothing_is_sent_past_its_time(self):
+    def test_nothing_is_sent_after_the_deadline(self):
         good = [head(), *data(b"late"), ("end", COMPLETE)]
         for facts in (PLAIN, STREAM, {**PLAIN, "repeatable": False}):
             response = self.relay([good], facts, left_ms=[-1.0])
@@ -19,7 +19,7 @@
             self.assertThat(self.closed, Equals([]))
             response.close()
 
-    def test_an_engine_is_given_only_what_is_left(self):
+    def test_an_engine_gets_only_the_remaining_time(self):
         good = [head(), *data(b"ok"), ("end", COMPLETE)]
         self.relay([good], {**PLAIN, "repeatable": False}, left_ms=[300.0])
         (sent,) = self.requests
@@ -36,7 +36,7 @@
             self.assertThat(self.requests, Equals([]))
             self.assertThat(self.proofs, Equals(["gone"]))
 
-    def test_a_stream_does_not_go_on_past_its_time(self):
+    def test_a_stream_is_not_resumed_after_the_deadline(self):
         broken = [head(), *data(event(1)), ("end", AttemptEnd(0, b"", True, "cut"))]
         rest = [head(), *data(event(2)), ("end", COMPLETE)]
         response = self.relay([broken, rest], STREAM, left_ms=[1000.0, -1.0])
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -1,4 +1,4 @@
-"""The cores of tenants' limits by themselves: buckets, parts, lines and messages."""
+"""The cores of the rate limits by themselves: buckets, shares, queues and messages."""
 
 import heapq
 import random
@@ -21,7 +21,7 @@
     @settings(max_examples=200, deadline=None)
     @given(st.data())
     def test_a_bucket_never_gives_more_than_a_plain_count_allows(self, data):
-        """Any window's draws are at most capacity and what the time fills in."""
+        """In any window the draws are at most the capacity and the refill."""
         capacity = data.draw(st.floats(1, 50))
         rate = data.draw(st.floats(0, 0.5))
         found, now_ms, drawn = buckets.Bucket(capacity, 0.0, capacity, rate), 0.0, []
@@ -37,13 +37,13 @@
                 total += count
                 self.assertThat(total, LessThan(capacity + rate * (at_ms - start_ms) + 1e-3))
 
-    def test_the_plain_counter_and_the_judgement_know_a_flood_without_limits(self):
-        """The judgement sees what is over the bound: every request is let in."""
+    def test_the_check_detects_a_flood_without_limits(self):
+        """If every request is admitted, the check reports the excess."""
         self.patch(spending, "request_token", lambda *facts: spending.Granted())
         world = World(1, {"flood": tenant("flood", 100, 10, 400)}, 4).run(10_000)
         self.assertThat(world.worst("flood")[0], GreaterThan(1000))
 
-    def test_asks_of_one_turn_to_one_depot_travel_in_one_message(self):
+    def test_requests_to_one_depot_are_sent_in_one_message(self):
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         for name in ("a", "b", "a"):
@@ -71,7 +71,8 @@
         self.assertThat(state.tenants["a"].spent, Equals(0))
         self.assertThat(state.queued, Equals(set()))
 
-    # SHORT: with thousands of tenants, new ones were refused and each ask took a long look.
+    # Rule SHORT: with thousands of tenants, new ones were refused and each request for tokens
+    # searched all buckets.
     def test_thousands_of_tenants_are_granted_their_first_requests(self):
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(5, -1e12)
         for number in range(6000):
@@ -79,7 +80,7 @@
             grant = granting.on_request(state, float(number), QuotaAsk(1, (want,)), share)
             self.assertThat(grant.given[0].given, Equals(1))
 
-    def test_a_depot_without_room_looks_for_some_once_a_second(self):
+    def test_a_full_depot_searches_for_room_once_a_second(self):
         self.patch(granting, "_MAX_BUCKETS", 10)
         looks, true_drop = [], granting._drop_full_buckets
         self.patch(
@@ -91,8 +92,8 @@
             granting.on_request(state, 10.0 * number, QuotaAsk(1, (want,)), share)
         self.assertThat(len(looks), LessThan(4))
 
-    # SHORT: a tenant whose limit was raised was refused for what depots had said before.
-    def test_what_depots_said_of_another_limit_counts_no_more(self):
+    # Rule SHORT: a tenant whose limit was raised was refused because of older reports of depots.
+    def test_reports_on_an_older_limit_are_dropped(self):
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
@@ -123,7 +124,7 @@
                 total, LessThan(granting.quota_settings.bucket_capacity(SETTINGS, 1.0) + 4 + 1)
             )
 
-    def test_the_highest_version_of_a_limit_counts(self):
+    def test_the_newest_version_of_a_limit_applies(self):
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(2, -1e12)
 
         def ask(now_ms, version, rate, burst):
@@ -136,8 +137,8 @@
         self.assertThat(ask(2.0, 2, 10.0, 100.0).capacity, Equals(5.0))
         self.assertThat(ask(3.0, 4, 10.0, 100.0).tokens, LessThan(3.0))
 
-    # QUOTA: a founder that was removed, restarted and was taken back granted at once.
-    def test_a_founder_that_is_taken_back_waits_as_a_newcomer_does(self):
+    # Rule QUOTA: a founder that was removed, restarted and added again granted at once.
+    def test_a_founder_that_is_added_again_waits_like_a_new_member(self):
         founders = {f"d{number}" for number in range(5)}
         eligibility = grant_shares.GrantEligibility("d0", 1000.0, 5, restarted=True)
         grant_shares.observe(eligibility, 0.0, founders - {"d0"}, founders)
@@ -148,15 +149,15 @@
             Equals(grant_shares.Share(5, 1010.0)),
         )
 
-    def test_parts_never_make_up_more_than_the_whole(self):
-        """Any order in which depots hear of any one-by-one changes, against a plain sum."""
+    def test_shares_never_exceed_the_whole(self):
+        """Depots learn of any one-by-one changes in any order, against a plain sum."""
         for seed in range(300):
             self.assertThat(worst_sum(seed), LessThan(1 + 1e-9), seed)
 
 
 def worst_sum(seed):
-    """The largest sum of the parts granted at one time: members change one at a time, and
-    each depot's marks come when they come, the changes in order."""
+    """The largest sum of the shares granted at one time.  Members change one at a time; each depot
+    gets heartbeats at random times and the changes in order."""
     rng = random.Random(seed)
     size, quorum_timeout_ms = rng.choice([3, 5]), 1000.0
     names = [f"d{n}" for n in range(size)]
--- a/tests/test_quota_mutants.py
+++ b/tests/test_quota_mutants.py
@@ -1,5 +1,5 @@
-"""Each rule that keeps tenants' limits, switched off, breaks the bound on a simulated day that
-it holds on otherwise."""
+"""Without any one of the rules that enforce tenants' limits, a simulated day exceeds the bound
+that it keeps with all of them."""
 
 from quota_records import tenant
 from quota_world import World
@@ -16,16 +16,16 @@
             self.patch(target, name, mutant)
         self.assertThat(over(day()), GreaterThan(0))
 
-    # QUOTA: a node that was idle spent what it had been leased long ago.
+    # Rule QUOTA: a node that was idle spent an old lease.
     def test_leases_without_an_end(self):
-        self.check(load_that_moves, (spending, "_is_valid", lambda lease, now_ms: True))
+        self.check(moving_load, (spending, "_is_valid", lambda lease, now_ms: True))
 
-    # QUOTA: answers that were held up came all at once and counted in full.
-    def test_leases_that_begin_when_the_grant_comes(self):
-        self.check(held_up, (spending, "_lease_end_ms", lambda state, sent: 1e12))
+    # Rule QUOTA: answers that were delayed arrived all at once and counted in full.
+    def test_leases_that_start_when_the_grant_arrives(self):
+        self.check(delayed_answers, (spending, "_lease_end_ms", lambda state, sent: 1e12))
 
-    # QUOTA: a doubled answer was spent twice.
-    def test_a_grant_that_counts_each_time_it_comes(self):
+    # Rule QUOTA: a duplicated answer was spent twice.
+    def test_a_grant_that_counts_each_time_it_arrives(self):
         class Kept(dict):
             def pop(self, number, *default):
                 return self.get(number, *default)
@@ -36,36 +36,36 @@
 
         true_on_grant = spending.on_grant
         self.check(
-            doubled_grants,
+            duplicated_grants,
             (spending, "on_grant", take_twice),
             (spending, "_stop_counting", lambda state, sent: None),
         )
 
-    # QUOTA: a depot that restarted gave out its bucket again.
+    # Rule QUOTA: a depot that restarted granted its bucket again.
     def test_a_bucket_that_is_full_after_a_restart(self):
         self.check(restarts, (grant_shares, "_since_ms", lambda *facts: -1e12))
 
-    # QUOTA: a successor granted beside the depot that was removed without knowing.
-    def test_a_newcomer_that_does_not_wait(self):
+    # Rule QUOTA: a new member granted beside the removed depot that didn't know of its removal.
+    def test_a_new_member_that_does_not_wait(self):
         self.check(
             replaced, (grant_shares, "_since_ms", lambda eligibility, now_ms, founders: now_ms)
         )
 
-    # QUOTA: a depot that was removed without knowing granted for ever.
-    def test_a_depot_that_grants_without_marks(self):
-        def always(eligibility, now_ms, mark_age_ms):
+    # Rule QUOTA: a removed depot that didn't know of its removal granted for ever.
+    def test_a_depot_that_grants_without_heartbeats(self):
+        def always(eligibility, now_ms, heartbeat_age_ms):
             return true_share(eligibility, now_ms, 0.0)
 
         true_share = grant_shares.current_share
         self.check(replaced, (grant_shares, "current_share", always))
 
-    # QUOTA: fewer members took larger parts while one that was removed held its own.
-    def test_a_part_that_grows_as_soon_as_the_group_is_smaller(self):
+    # Rule QUOTA: fewer members took larger shares while a removed one still granted its own.
+    def test_a_share_that_grows_as_soon_as_the_group_is_smaller(self):
         self.check(
             shrunk, (grant_shares, "_members_to_count", lambda eligibility, after: len(after))
         )
 
-    # QUOTA: a limit that was raised filled the bucket.
+    # Rule QUOTA: a raised limit filled the bucket.
     def test_a_raised_limit_that_fills_the_bucket(self):
         def filled(bucket, now_ms, capacity, rate_per_ms):
             if capacity == bucket.capacity:
@@ -76,7 +76,7 @@
 
 
 def over(world):
-    """By how much the worst window of any tenant is over its bound."""
+    """The largest excess over the bound in any window of any tenant."""
     return max(world.worst(name)[0] for name in world.tenants)
 
 
@@ -84,8 +84,8 @@
     return {"flood": tenant("flood", rate, burst, load)}
 
 
-def load_that_moves():
-    """Clients go from some nodes to others, each of which keeps a lease; then to all."""
+def moving_load():
+    """Clients move from node to node, each of which keeps a lease, and then use all nodes."""
     world = World(1, {"flood": tenant("flood", 300, 100, 250, (12_000.0, 17_000.0, 3.0))}, 128)
     names = sorted(world.counters)
 
@@ -97,13 +97,13 @@
     return world.run(17_000)
 
 
-def held_up():
+def delayed_answers():
     world = World(2, flood(), 12)
     world.delivery_pause = (5000.0, 10_000.0)
     return world.run(16_000)
 
 
-def doubled_grants():
+def duplicated_grants():
     world = World(2, flood(), 12)
     world.duplicated = 0.5
     return world.run(12_000)
@@ -118,7 +118,7 @@
 
 
 def replaced():
-    """A depot is cut off and goes on granting beside its successor."""
+    """A depot is cut off and goes on granting beside its replacement."""
     world = World(4, flood(load=200), 12, 3)
     world.asks_all_depots = True
     world.at(5000.0, world.cut_off_group.add, "d0")
@@ -128,7 +128,7 @@
 
 
 def shrunk():
-    """A depot is cut off and goes on granting beside those that are left."""
+    """A depot is cut off and goes on granting beside the remaining members."""
     world = World(5, flood(load=200), 12, 3)
     world.asks_all_depots = True
     world.at(5000.0, world.cut_off_group.add, "d0")
@@ -137,7 +137,7 @@
 
 
 def raised():
-    """A limit that is changed to and fro by a little."""
+    """A limit that changes up and down by a little."""
     world = World(6, flood(burst=100), 12)
     for version in range(2, 30):
         limit = world.tenants["flood"].limits[0][1]
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -1,5 +1,5 @@
-"""Tenants' limits in whole nodes: simulated depots and counters, with one service that all
-engines' places suffice for."""
+"""Tenants' limits in whole simulated nodes, with one service whose engines have places for all
+requests."""
 
 import random
 
@@ -49,7 +49,7 @@
         self.made = run._build(5, deployments.SMALL, True)
         self.world = self.made.world
         worlds.spin(self.world, 8000)
-        # One way between halls; now and then a message takes twenty times as long.
+        # One way between zones; now and then a message takes twenty times as long.
         self.world.network.high_ms = 0.6
         self.counters = sorted(n for n in self.world.hosts if n[0] == "c")
         self.depots = sorted(n for n in self.world.hosts if n[0] == "d")
@@ -64,7 +64,7 @@
         return self.world.hosts[name].node
 
     def ask(self, counter, tenant=LIMITED, path="/x"):
-        """A caller's request comes in at a counter; its first answer is kept."""
+        """A caller's request comes in at a routing node; its first outcome is kept."""
         self.count += 1
         token, host = f"t{self.count}", self.world.hosts[counter]
         fields = {"id": token, "host": "h", "path": path, "deadlineMs": 30_000}
@@ -83,7 +83,7 @@
         return token
 
     def load(self, per_s, span_ms, seed=1):
-        """Requests of the limited tenant at all counters for a while, then a second more."""
+        """Requests of the limited tenant at all routing nodes for a while, then one more second."""
         rng, at_ms = random.Random(seed), 0.0
         while (at_ms := at_ms + 1000 * rng.expovariate(per_s)) < span_ms:
             name = rng.choice(self.counters)
@@ -99,7 +99,7 @@
     def cut_from_depots(self, counter):
         self.world.cuts |= {(counter, depot) for depot in self.depots}
 
-    # QUOTA: a tenant got more than its limit.
+    # Rule QUOTA: a tenant exceeded its limit.
     def test_a_flood_is_held_to_the_limit(self):
         self.load(300, 9000)
         runs = [request for request in self.requests if request.outcome == "run"]
@@ -111,13 +111,13 @@
         self.assertThat(refused, Equals({failures.QuotaExceeded}))
         self.assertThat(max(self.spans()), LessThan(30))
 
-    # SHORT: requests below a tenant's limit were refused, or came late.
-    def test_a_tenant_below_its_limit_is_let_in_after_one_round_trip(self):
+    # Rule SHORT: requests below a tenant's limit were refused or late.
+    def test_a_tenant_below_its_limit_is_admitted_after_one_round_trip(self):
         self.load(RATE / 1.6, 8000)
         self.assertThat({type(x) for x in self.outcomes.values()}, Equals({router.Attempt}))
         self.assertThat(sorted(self.spans())[len(self.requests) // 2], LessThan(4))
 
-    def test_an_ask_is_sent_in_the_turn_in_which_its_request_came(self):
+    def test_tokens_are_requested_while_the_request_is_handled(self):
         node = self.node("c0")
         fields = {
             "id": "x",
@@ -132,21 +132,21 @@
         asks = [x for x in effects if isinstance(x, Send) and isinstance(x.message, QuotaAsk)]
         self.assertThat(len(asks), Equals(1))
 
-    def test_what_has_no_limit_asks_nobody(self):
+    def test_requests_without_a_limit_need_no_tokens(self):
         for tenant, path in ((UNLIMITED, "/x"), ("", "/open/x"), ("nobody", "/open/x")):
             token = self.ask("c0", tenant, path)
             self.assertIsInstance(self.outcomes[token], router.Attempt)
         self.assertThat(self.node("c0").quotas.spending.sent, Equals({}))
 
-    def test_what_is_tried_again_takes_no_other_token(self):
+    def test_a_retry_takes_no_further_token(self):
         registry = self.node("c0").floor.registry
         registry.engines["q1"] = engine_facts("q1", "plain", slots=10**9)
         token = self.ask("c0")
         self.spin(20)
-        again, host = [], self.world.hosts["c0"]
-        self.world.replies[("c0", host.life, token)] = again.append
+        outcomes, host = [], self.world.hosts["c0"]
+        self.world.replies[("c0", host.life, token)] = outcomes.append
         worlds.post(self.world, host, e.Asked(token, "ended", {"proof": "not-run"}))
-        self.assertThat([type(x) for x in again], Equals([router.Attempt]))
+        self.assertThat([type(x) for x in outcomes], Equals([router.Attempt]))
         self.assertThat(self.node("c0").quotas.spending.tenants[LIMITED].spent, Equals(1))
 
     def test_a_depot_that_is_lost_is_passed_over(self):
@@ -157,7 +157,7 @@
         slow = [span for span in self.spans() if span > 50]
         self.assertThat(len(slow), LessThan(3 * len(self.counters)))
 
-    def test_without_any_depot_a_request_waits_and_is_told_to_come_back(self):
+    def test_without_any_depot_a_request_waits_and_is_told_to_retry(self):
         self.cut_from_depots("c0")
         token = self.ask("c0")
         self.spin(0.4 * HELD_MS)
@@ -185,7 +185,7 @@
         self.assertThat(spends.tenants[LIMITED].spent, Equals(0))
         self.assertThat(spends.queued, Equals(set()))
 
-    def test_a_line_that_is_full_takes_no_more(self):
+    def test_a_full_queue_accepts_no_more(self):
         self.cut_from_depots("c0")
         places = self.node("c0").router.settings.max_waiting
         for _ in range(places + 20):
@@ -194,7 +194,7 @@
         self.assertThat(full, Equals({failures.Overloaded}))
         self.assertThat(len(self.outcomes), Equals(21))
 
-    def test_operators_see_what_was_given_and_refused(self):
+    def test_operators_see_grants_and_refusals(self):
         self.load(300, 6000)
         descriptions = [
             quota_requests.described(self.node(name))[LIMITED] for name in self.counters
@@ -212,7 +212,7 @@
         ]
         self.assertThat(1 <= len(notes) <= 2, Equals(True))
 
-    def test_a_depot_that_closes_gives_nothing(self):
+    def test_a_depot_that_is_closing_grants_nothing(self):
         depot = self.node(self.depots[0])
         depot.closing = True
         ask = QuotaAsk(1, ())
@@ -220,8 +220,8 @@
         self.assertThat(effect.message.granting, Equals(False))
 
 
-class Answers(TestCase):
-    def test_a_refusal_says_when_to_come_back(self):
+class RefusedResponses(TestCase):
+    def test_a_refusal_has_a_retry_delay(self):
         status, head, _ = callers.refusal(failures.QuotaExceeded("a", 250))
         self.assertThat((status, head["Retry-After"]), Equals((429, "0.250")))
         self.assertThat(failures.retry_after(failures.QuotaExceeded("a", 250)), Equals(1))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,5 +1,5 @@
-"""Tenants' limits over many nodes: the exact count of every window against the bound,
-and what is refused against one exact counter."""
+"""Tenants' limits over many nodes: the exact count in every window against the bound, and refusals
+against one exact counter."""
 
 import functools
 
@@ -18,12 +18,12 @@
 
 
 class PlainCounter:
-    """One exact counter for all nodes: requests as they come, by the limit alone."""
+    """One exact token bucket for all nodes."""
 
     def __init__(self, limit):
         self.limit, self.tokens, self.at_ms = limit, float(limit.burst), 0.0
 
-    def lets_in(self, now_ms):
+    def admits(self, now_ms):
         filled = self.tokens + (now_ms - self.at_ms) * self.limit.rate_per_s / 1000
         self.tokens, self.at_ms = min(self.limit.burst, filled), now_ms
         if self.tokens < 1:
@@ -33,27 +33,27 @@
 
 
 def wrongly_refused(world, name):
-    """(refused though one exact counter lets them in, all that it lets in)."""
+    """(requests refused that one exact counter admits, all requests that it admits)."""
     counter = PlainCounter(world.tenants[name].limit(0.0))
-    owed = [r for r in world.requests if r.tenant == name and counter.lets_in(r.sent_ms)]
+    owed = [r for r in world.requests if r.tenant == name and counter.admits(r.sent_ms)]
     return sum(r.outcome != "run" for r in owed), len(owed)
 
 
 class Bound(TestCase):
-    # QUOTA: a tenant got more than its limit.
-    def test_no_window_is_over_the_bound_in_any_trouble(self):
+    # Rule QUOTA: a tenant exceeded its limit.
+    def test_no_window_exceeds_the_bound_with_faults(self):
         for seed in range(SEEDS):
             self.assertThat(quota_faults.faulty_day(seed).broken(), Equals({}), seed)
 
-    # QUOTA: a tenant got more than its limit.
-    def test_no_window_is_over_the_bound_in_a_calm(self):
+    # Rule QUOTA: a tenant exceeded its limit.
+    def test_no_window_exceeds_the_bound_without_faults(self):
         for seed in range(2):
             self.assertThat(calm_day(seed).broken(), Equals({}), seed)
 
 
 class Refusals(TestCase):
-    # SHORT: requests below a tenant's limit were refused.
-    def test_a_lone_tenant_below_its_limit_is_refused_nothing(self):
+    # Rule SHORT: requests below a tenant's limit were refused.
+    def test_a_single_tenant_below_its_limit_is_never_refused(self):
         for seed, (load, burst) in enumerate([(0.3, 1), (2, 3), (20, 8), (80, 20)]):
             world = World(seed, {"lone": tenant("lone", 1.6 * load, burst, load)}, 40)
             world.run(quota_faults.DAY_MS)
@@ -61,7 +61,7 @@
             self.assertThat(owed, GreaterThan(0))
             self.assertThat(refused, Equals(0), (load, burst))
 
-    # SHORT: requests below a tenant's limit were refused.
+    # Rule SHORT: requests below a tenant's limit were refused.
     def test_tenants_below_their_limit_beside_a_flood(self):
         refused = owed = 0
         for seed in range(2):
@@ -71,7 +71,7 @@
                 refused, owed = refused + found[0], owed + found[1]
         self.assertThat(refused, LessThan(0.005 * owed))
 
-    # SHORT: a tenant over its limit got less than the limit.
+    # Rule SHORT: a tenant over its limit got less than the limit.
     def test_a_flooding_tenant_gets_what_its_limit_allows(self):
         for seed in range(2):
             world = calm_day(seed)
@@ -95,8 +95,8 @@
         self.assertThat(len(slow), LessThan(10 * 3))
         self.assertThat(max(r.ended_ms - r.sent_ms for r in slow), LessThan(200))
 
-    # SHORT: answers that came later than a lease lasts served nobody, and used the limit up.
-    def test_requests_that_waited_are_let_in_by_late_answers(self):
+    # Rule SHORT: answers that took longer than a lease lasts were useless, and used up the limit.
+    def test_late_answers_admit_requests_that_waited(self):
         for seed in range(3):
             world = World(seed, {"lone": tenant("lone", 100, 50, 20)}, 5)
             world.late, world.late_ms = 1.0, 400.0
@@ -104,8 +104,8 @@
             self.assertThat(world.share("run", {"lone"}), GreaterThan(0.98))
             self.assertThat(world.broken(), Equals({}))
 
-    # SHORT: a node whose answers came late used up the limit that others were refused by.
-    def test_a_node_that_hears_late_leaves_the_others_their_tokens(self):
+    # Rule SHORT: a node that got late answers used up the limit, so that others were refused.
+    def test_a_node_with_late_answers_leaves_tokens_to_others(self):
         world = World(1, {"lone": tenant("lone", 32, 8, 20)}, 8)
         true_deliver = world._deliver
 
@@ -119,7 +119,7 @@
         self.assertThat(world.share("refused", {"lone"}), LessThan(0.01))
         self.assertThat(world.share("run", {"lone"}), GreaterThan(0.98))
 
-    # SHORT: while answers were late, several depots were asked for each request, which used
+    # Rule SHORT: while answers were late, several depots were asked for each request, which used
     # up the tenant's tokens.
     def test_late_answers_do_not_use_the_limit_up(self):
         world = World(1, {"lone": tenant("lone", 32, 32, 20)}, 12)
@@ -135,6 +135,6 @@
         self.assertThat(world.share("run", {"lone"}), GreaterThan(0.99))
         counters = [c.spending.tenants["lone"] for c in world.counters.values()]
         drawn = sum(
-            held.given for d in world.depots.values() for held in d.granting.tenants.values()
+            bucket.given for d in world.depots.values() for bucket in d.granting.tenants.values()
         )
-        self.assertThat(drawn, LessThan(1.5 * sum(line.spent for line in counters)))
+        self.assertThat(drawn, LessThan(1.5 * sum(queue.spent for queue in counters)))
--- a/tests/test_refusal_log.py
+++ b/tests/test_refusal_log.py
@@ -1,4 +1,4 @@
-"""A refusal for want of an engine leaves a line that tells what was known of each engine."""
+"""A request that no engine could take is logged with what was known of each engine."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 class Scene(TestCase):
-    """A counter, and two engines of which `e0` holds the model."""
+    """A routing node and two engines, of which `e0` has the model."""
 
     def setUp(self):
         super().setUp()
@@ -46,7 +46,7 @@
         self.router, self.now_ms, self.count = router.Router(SETTINGS), 1000.0, 0
 
     def holds(self, engine):
-        """A report has shown the model on an engine."""
+        """Record that an engine reported the model."""
         facts = {"state": "loaded", "mb": 1.0, "places": 0}
         record = ledger.found_record(engine, "i0", {self.model: facts}, self.service)
         ledger.apply(self.ledger, record)
@@ -77,7 +77,7 @@
         return [effect.outcome for effect in effects if hasattr(effect, "outcome")]
 
     def wait(self, span_ms, step_ms=40.0):
-        """Ticks as a node has them; the outcomes that they bring."""
+        """Run ticks like a node; returns the outcomes."""
         outcomes, end_ms = [], self.now_ms + span_ms
         while self.now_ms < end_ms:
             self.now_ms += step_ms
@@ -86,16 +86,16 @@
             outcomes += [(e.token, e.outcome) for e in effects if hasattr(e, "outcome")]
         return outcomes
 
-    def noted(self):
+    def logged_facts(self):
         return [note.facts for note in refusal_log.take_notes(self.router)]
 
 
 class Refused(Scene):
     def engine(self, name):
-        (facts,) = self.noted()
+        (facts,) = self.logged_facts()
         return next(e for e in facts["engines"] if e["engine"] == name)
 
-    def test_all_places_taken(self):
+    def test_all_places_are_taken(self):
         while self.begin()[1]:
             pass
         ((_, refusal),) = self.wait(2000.0)
@@ -104,29 +104,29 @@
         self.assertThat(engine, ContainsDict({"has": Equals(True), "coldMs": Equals(0)}))
         self.assertThat(engine["busy"], Equals(self.router.in_flight["e0"]))
 
-    def test_an_engine_that_broke(self):
-        """And another that holds the model as well, and has just refused."""
+    def test_an_engine_with_a_broken_attempt(self):
+        """The other engine also has the model, and has just refused a request."""
         self.holds("e1")
-        tokens = {leg.engine: token for token, (leg,) in (self.begin() for _ in range(4))}
+        tokens = {attempt.engine: token for token, (attempt,) in (self.begin() for _ in range(4))}
         self.ended(tokens["e0"], "unknown")
         self.now_ms += 40.0
         (refusal,) = self.ended(tokens["e1"], "not-run")
         self.assertThat(refusal.cause, Equals("all-busy"))
-        (facts,) = self.noted()
-        broke, refused = facts["engines"]
-        self.assertThat(broke, ContainsDict({"brokeMs": Equals(40), "limit": Equals(0)}))
+        (facts,) = self.logged_facts()
+        broken, refused = facts["engines"]
+        self.assertThat(broken, ContainsDict({"brokeMs": Equals(40), "limit": Equals(0)}))
         self.assertThat(refused, ContainsDict({"avoidedMs": Equals(100)}))
 
-    # It was told as "all-busy", which sent the search for the cause the wrong way.
+    # The refusal was reported as "all-busy", which misled the search for its cause.
     def test_an_engine_that_refuses(self):
         token, _ = self.begin(max_attempts=1)
         (refusal,) = self.ended(token, "not-run")
         self.assertThat(refusal, Equals(failures.Overloaded(1000, "engines-refused")))
-        (facts,) = self.noted()
+        (facts,) = self.logged_facts()
         self.assertThat(facts, ContainsDict({"cause": Equals(refusal.cause)}))
         self.assertThat(facts["legs"], Equals(["e0"]))
 
-    def test_what_the_others_are(self):
+    def test_facts_about_the_other_engines(self):
         self.ledger.suspects["e1"] = True
         token, _ = self.begin(max_attempts=1)
         self.ended(token, "not-run")
@@ -134,11 +134,11 @@
             self.engine("e1"), ContainsDict({"suspect": Equals(True), "has": Equals(False)})
         )
 
-    def test_one_line_in_a_while(self):
+    def test_one_line_per_interval(self):
         for expected, span_ms in ((1, 0.0), (0, 500.0), (1, 600.0)):
             self.now_ms += span_ms
             token, _ = self.begin(max_attempts=1)
             self.ended(token, "not-run")
-            notes = self.noted()
+            notes = self.logged_facts()
             self.assertThat(len(notes), Equals(expected))
         self.assertThat(notes[0]["unnoted"], Equals(1))
--- a/tests/test_request_integrity.py
+++ b/tests/test_request_integrity.py
@@ -1,5 +1,5 @@
-"""What engines read is what callers sent, byte for byte, whatever engines and callers do;
-and the name of the key's tenant in place of the key.
+"""Engines receive exactly the bytes that callers sent, with the tenant's name instead of the
+key, whatever engines and callers do.
 
 Callers write raw requests at the real listener; engines answer early, twice, late or not
 at all, and read on.  Whatever an engine reads must be one caller's request, unchanged.
@@ -34,7 +34,7 @@
 
 
 class Owner:
-    """What the gateway asks of a node: every request goes to one of the engines."""
+    """Stands for the node behind the gateway: sends every request to one of the engines."""
 
     def __init__(self, engines, port):
         self.pool, self.dialect, self._engines = ConnectionPool(), DIALECT, engines
@@ -46,7 +46,7 @@
             httpThreads=32,
         )
 
-    def _leg(self, tenant):
+    def _attempt(self, tenant):
         engine = self._rng.choice(self._engines)
         return Attempt("i-1", engine.url, 3000.0, 0, tenant=tenant)
 
@@ -61,11 +61,11 @@
         with self._lock:
             self._left[token] = (2, told["repeatable"], tenant)
         future = Future()
-        future.set_result(self._leg(tenant))
+        future.set_result(self._attempt(tenant))
         return future
 
     def tell(self, token, verb, body):
-        """Nothing waits here."""
+        """Ignored: nothing waits here."""
 
     def ask(self, token, verb, body, wait_s=0):
         if verb == "silent":
@@ -77,7 +77,7 @@
         if proof in ("done", "gone", "cut"):
             return Done()
         if left > 0 and (repeatable or proof in ("not-run", "no-pipe")):
-            return self._leg(tenant)
+            return self._attempt(tenant)
         return failures.OutcomeUnknown("leg-broken")
 
 
@@ -86,9 +86,9 @@
         return found.getsockname()[1]
 
 
-class CallersThatLeft(TestCase):
+class DepartedCallers(TestCase):
     def test_nothing_is_sent_for_them(self):
-        """The caller has closed before its request is looked at, as after a freeze."""
+        """The caller has closed before its request is handled, as after a pause of the process."""
         owner = Owner([UnrulyEngine(0, ("good",))], free_port())
         gateway, posted = Gateway(owner), []
         self.addCleanup(gateway.stop)
@@ -104,10 +104,10 @@
         self.assertThat(len(posted), Equals(1))
 
 
-class EarlyAnswers(TestCase):
-    def test_no_connection_is_kept_with_a_rest_of_a_body(self):
-        """An engine that answers before it has read a long body, and reads on, reads
-        nothing else there."""
+class EarlyResponses(TestCase):
+    def test_no_connection_is_reused_while_a_body_is_unsent(self):
+        """An engine that responds before it has read a long body, and reads on, receives nothing
+        else on that connection."""
         for seed, manners in enumerate((("early",), ("early-good",), ("early", "good"))):
             engine, pool = UnrulyEngine(seed, manners), ConnectionPool()
             self.addCleanup(engine.close)
@@ -122,19 +122,19 @@
             read = {(method, target, body) for method, target, _, body in engine.read}
             self.assertThat((read - sent, engine.strange), Equals((set(), [])))
 
-    def test_only_a_request_that_was_sent_whole_leaves_its_connection(self):
+    def test_only_a_request_that_was_sent_completely_leaves_its_connection(self):
         for sent_bytes, whole in ((0, False), (4, False), (5, True)):
             curl = SimpleNamespace(getinfo={pycurl.SIZE_UPLOAD_T: sent_bytes}.get)
             ask = EngineRequest("POST", "http://e/", b"12345")
             self.assertThat(proxying._sent_whole(curl, ask), Equals(whole))
 
 
-class Unasked(TestCase):
-    """Guards against UNASKED: engines read what nobody sent, a tenant's name that isn't that
-    of the key's holder, or the key itself."""
+class RequestIntegrity(TestCase):
+    """Rule UNASKED: an engine must not receive bytes that nobody sent, the name of a tenant that
+    doesn't hold the key, or the key itself."""
 
     def write(self, rng, port, sent):
-        """A caller writes its request, all of it or not, and reads what comes."""
+        """A caller sends its request, completely or not, and reads the response."""
         wire, manner = sent.wire(), rng.choice(("whole",) * 5 + ("more", "half", "leaves"))
         if manner == "half":
             wire = wire[: rng.randrange(1, len(wire))]
@@ -172,7 +172,7 @@
             engine.close()
         return sent, answers, engines
 
-    def test_engines_read_what_callers_sent(self):
+    def test_engines_receive_what_callers_sent(self):
         for seed in SEEDS:
             sent, answers, engines = self.played(seed)
             facts = {s.id: s.facts() for s in sent}
--- a/tests/test_response_identity.py
+++ b/tests/test_response_identity.py
@@ -1,5 +1,5 @@
-"""One connection to an engine that misbehaves: which answer is whose, which is whole,
-what was sent, and how often."""
+"""One connection to a misbehaving engine: to which request a response belongs, whether it is
+complete, what was sent, and how often."""
 
 import socket
 import struct
@@ -19,13 +19,13 @@
 
 
 def answer(body, *headers, length=None):
-    told = len(body) if length is None else length
-    lines = ["HTTP/1.1 200 OK", f"Content-Length: {told}", KEPT, *headers]
+    announced = len(body) if length is None else length
+    lines = ["HTTP/1.1 200 OK", f"Content-Length: {announced}", KEPT, *headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
 class Engine:
-    """Each connection gets the next script: a list of `read` (a head), `reset`, `close`,
+    """An engine with a script for each connection: a list of `read` (a head), `reset`, `close`,
     events to wait for, functions to call, and bytes to send."""
 
     def __init__(self, *scripts):
@@ -86,7 +86,7 @@
         return engine
 
     def ask(self, engine, pool=None, method="GET", body=b"", headers=(), fresh=False, target="/x"):
-        """(head, data, how it ended)"""
+        """(head, data, AttemptEnd) of one request."""
         events = list(
             proxying.stream(
                 pool or ConnectionPool(),
@@ -103,9 +103,9 @@
 
 
 class SentOnce(Exchanges):
-    def test_a_broken_connection_is_no_reason_to_send_by_itself_again(self):
-        """The engine has read the request on a kept connection and breaks off: it may
-        have run, and what is sent again is the router's to decide."""
+    def test_no_automatic_retry_on_a_pooled_connection_that_broke(self):
+        """The engine has read the request on a pooled connection and breaks it off: the request
+        may have run, and only the router decides on a retry."""
         for end in ("close", "reset"):
             for method, body in (("GET", b""), ("POST", b""), ("POST", b"q"), ("HEAD", b"")):
                 engine = self.engine(["read", answer(b""), "read", end], ["read", answer(b"again")])
@@ -116,7 +116,7 @@
                 self.assertThat((ended.code, ended.request_sent), Equals((0, True)))
                 self.assertThat((engine.connections, len(engine.requests)), Equals((1, 2)))
 
-    def test_nor_on_a_new_connection(self):
+    def test_no_automatic_retry_on_a_new_connection(self):
         for end in ("close", "reset"):
             for body in (b"", b"q"):
                 engine = self.engine(["read", end], ["read", answer(b"again")])
@@ -124,7 +124,7 @@
                 self.assertThat((ended.code, ended.request_sent), Equals((0, True)))
                 self.assertThat((engine.connections, len(engine.requests)), Equals((1, 1)))
 
-    def test_nor_for_our_own_callers(self):
+    def test_no_automatic_retry_of_product_calls(self):
         for end in ("close", "reset"):
             engine = self.engine(["read", end], ["read", answer(b"again")])
             ended = engine_calls.call(
@@ -139,8 +139,8 @@
         self.assertThat((ended.code, ended.request_sent), Equals((0, True)))
         self.assertThat((engine.connections, len(engine.requests)), Equals((1, 1)))
 
-    def test_a_kept_connection_that_was_reset_unseen_is_replaced(self):
-        """Nothing was sent on it, so the request is sent on a new one, once."""
+    def test_a_pooled_connection_that_was_reset_is_replaced(self):
+        """Nothing was sent on it, so the request is sent once on a new connection."""
         engine = self.engine(["read", answer(b"one"), "reset"], ["read", answer(b"two")])
         pool = ConnectionPool()
         self.ask(engine, pool)
@@ -149,12 +149,12 @@
         self.assertThat(self.ask(engine, pool)[1], Equals(b"two"))
         self.assertThat((engine.connections, len(engine.requests)), Equals((2, 2)))
 
-    def test_nothing_was_sent_where_nobody_listens(self):
+    def test_nothing_was_sent_without_a_listener(self):
         engine = self.engine()
         engine.close()
         self.assertThat(self.ask(engine, fresh=True)[2].request_sent, Equals(False))
 
-    def test_redirects_are_answers(self):
+    def test_redirects_are_passed_on(self):
         engine = self.engine(
             [
                 "read",
@@ -167,7 +167,7 @@
         self.assertThat(len(engine.requests), Equals(1))
 
 
-class SentAsItCame(Exchanges):
+class SentUnchanged(Exchanges):
     def test_targets(self):
         for target in ("/a#b", "/a/../b?c=/%2e", "/a//b", "/\xe9?\xff", "/@h:1/x", "/[0-9]{a,b}"):
             engine = self.engine(["read", answer(b"")])
@@ -186,8 +186,8 @@
 
 
 class Whole(Exchanges):
-    def test_an_interim_answer_before_half_a_head(self):
-        """The final head counts once it is all here."""
+    def test_an_interim_response_before_half_a_head(self):
+        """The final head counts once it is complete."""
         sent, rest, idle = threading.Event(), threading.Event(), 0
         engine = self.engine(
             [
@@ -207,12 +207,12 @@
                 heads.append(value.get("b"))
             idle += kind == "idle" and sent.is_set()
             if idle == 2:
-                # What was sent first has been read by now.
+                # The first part has been read by now.
                 rest.set()
         self.assertThat(heads, Equals(["2"]))
 
-    def test_only_what_tells_its_end_can_be_whole(self):
-        """An answer that runs to the end of its connection looks whole when it is cut."""
+    def test_only_a_delimited_response_can_be_complete(self):
+        """A response that runs until the connection closes looks complete when it is cut."""
         for method, sent, whole in (
             ("GET", b"HTTP/1.1 200 OK\r\n\r\nhalf", False),
             ("GET", b"HTTP/1.0 200 OK\r\n\r\nhalf", False),
@@ -235,7 +235,7 @@
             _, _, ended = self.ask(engine, method=method)
             self.assertThat(ended.code > 0, Equals(whole), f"{method} {sent}")
 
-    def test_an_answer_before_the_request_was_sent_whole(self):
+    def test_a_response_before_the_request_was_sent_completely(self):
         sent = b"HTTP/1.1 503 No\r\nX-Not-Run: full\r\nContent-Length: 0\r\n\r\n"
         engine = self.engine(["read", sent], ["read", answer(b"next")])
         pool = ConnectionPool()
@@ -244,9 +244,9 @@
         self.assertThat(self.ask(engine, pool)[1], Equals(b"next"))
 
 
-class Kept(Exchanges):
-    def test_a_late_second_answer_is_told_from_ours(self):
-        """It comes after the connection was looked at and before our answer."""
+class PooledConnections(Exchanges):
+    def test_a_late_surplus_response_is_not_taken_for_ours(self):
+        """It arrives after the connection was checked and before our response."""
         stray = answer(b"stray", "X-Try-Id: first", "X-Postmark: p")
         engine = self.engine(
             ["read", answer(b"one", "X-Try-Id: first", "X-Postmark: p"), "read", stray]
@@ -257,8 +257,8 @@
         self.assertThat((head.kept, engine.connections), Equals((True, 1)))
         self.assertThat(DIALECT.classify_response({"id": "second"}, head), Equals("foreign"))
 
-    def test_calls_use_no_connection_of_requests(self):
-        """Answers to calls bear no id: one answer too many would be taken for theirs."""
+    def test_calls_share_no_connection_with_requests(self):
+        """Responses to calls carry no id, so a surplus response would be taken for theirs."""
         engine = self.engine(
             ["read", answer(b"one"), "read", answer(b"stray")],
             ["read", answer(b"order")],
@@ -279,14 +279,14 @@
         found = [proxying.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
         self.assertThat((found, engine.connections), Equals(([b"one", b"two"], 1)))
 
-    def test_an_order_takes_no_connection_that_still_speaks(self):
-        """An answer too many, there before the next order, ends the connection."""
+    def test_an_order_uses_no_connection_with_unread_bytes(self):
+        """A surplus response that is there before the next order ends the connection."""
         engine = self.engine(["read", answer(b"one") + answer(b"stray")], ["read", answer(b"two")])
         pool, order = ConnectionPool(), EngineRequest("POST", engine.url + "/o", b"{}")
         found = [proxying.call(pool, order, WAIT_S * 1000).data for _ in range(2)]
         self.assertThat((found, engine.connections), Equals(([b"one", b"two"], 2)))
 
-    def test_an_order_takes_no_connection_of_reports(self):
+    def test_an_order_uses_no_connection_of_reports(self):
         engine = self.engine(
             ["read", answer(b"report"), "read", answer(b"stray")], ["read", answer(b"order")]
         )
@@ -295,7 +295,7 @@
         ended = proxying.call(pool, EngineRequest("POST", engine.url + "/o", b"{}"), WAIT_S * 1000)
         self.assertThat((ended.data, engine.connections), Equals((b"order", 2)))
 
-    def test_not_after_any_word_of_closing(self):
+    def test_not_reused_after_connection_close(self):
         for header in ("Connection: close", "Connection: x, Close", "Connection: CLOSE"):
             engine = self.engine(["read", answer(b"one", header)], ["read", answer(b"two")])
             pool = ConnectionPool()
@@ -305,21 +305,21 @@
             )
 
 
-class Judged(TestCase):
-    """Whose an answer is, by its head alone."""
+class ClassifiedResponses(TestCase):
+    """To which request a response belongs, judged by its head alone."""
 
     def judged(self, code, kept=False, **headers):
         named = tuple((name.replace("_", "-"), value) for name, value in headers.items())
         return DIALECT.classify_response({"id": "t1"}, ResponseHead(code, "", named, kept))
 
-    def test_without_the_requests_id(self):
-        """On a connection that carried another request it proves nothing."""
+    def test_without_the_id_of_the_request(self):
+        """On a connection that carried another request, such a response proves nothing."""
         self.assertThat(self.judged(200, X_Postmark="p"), Equals("foreign"))
         for kept, found in ((False, "not-run"), (True, "foreign")):
             self.assertThat(self.judged(421, kept), Equals(found))
             self.assertThat(self.judged(503, kept, X_Not_Run="full"), Equals(found))
 
-    def test_with_it(self):
+    def test_with_an_id(self):
         for kept in (False, True):
             for id_, found in (("t1", "not-run"), ("t2", "foreign"), ("", "foreign")):
                 self.assertThat(self.judged(421, kept, X_Try_Id=id_), Equals(found))
--- a/tests/test_resuming.py
+++ b/tests/test_resuming.py
@@ -1,4 +1,4 @@
-"""Resuming a run: the very same one, from the same incarnation, or not at all."""
+"""Resuming a run: only the same run of the same incarnation."""
 
 import dataclasses
 import json
@@ -17,7 +17,7 @@
 
 
 class Pieces(TestCase):
-    def test_what_follows_a_resumption_must_be_the_same_run(self):
+    def test_a_resumed_stream_must_be_the_same_run(self):
         first = {
             "task": "t",
             "run": "r",
@@ -44,8 +44,9 @@
 
 
 class Simulated(TestCase):
-    def test_only_the_engine_that_offers_it_is_asked(self):
-        """Both kinds of engine break their pipes; with restarts of each meanwhile."""
+    def test_only_runs_that_can_be_resumed_are_resumed(self):
+        """Engines that offer to resume and engines that don't break connections, with restarts
+        meanwhile."""
         steps = [faults.Step(2000.0, "engine-snapping", f"e{i}", 9000.0) for i in range(3)]
         steps += [faults.Step(5000.0, "engine-restart", "e0", 200.0)]
         resumed = 0
@@ -72,8 +73,8 @@
         fleet.until(lambda: fleet.call("c0", "GET", "/operator/fleet")[0] == 200)
         fleet.furnish("c0", {n: r.address for n, r in self.relays.items()})
 
-    def test_broken_pipes(self):
-        """The pipe of a stream breaks: e0 offers to resume and e1 does not."""
+    def test_broken_connections(self):
+        """The connection of a stream breaks: e0 offers to resume and e1 does not."""
         for name, goes_on in (("e0", True), ("e1", False)):
             model = self.fleet.until(lambda n=name: self.only_on(n))
             body = {
@@ -89,19 +90,19 @@
                     self.fleet.call("c0", "POST", "/v1/task", {**b, "stream": False})[0] == 200
                 )
             )
-            told, heard = [], []
-            asking = threading.Thread(
-                target=lambda b=body, t=told, h=heard: t.append(
+            results, received = [], []
+            client = threading.Thread(
+                target=lambda b=body, t=results, h=received: t.append(
                     read_stream(self.fleet.http["c0"], b, heard=h.append)
                 )
             )
             before = self.ran(name)
-            asking.start()
+            client.start()
             self.fleet.until(lambda n=name: self.ran(n) > before)
-            self.fleet.until(lambda h=heard: b"".join(h).count(b"event: piece") > 1)
+            self.fleet.until(lambda h=received: b"".join(h).count(b"event: piece") > 1)
             self.relays[name].snap()
-            asking.join(60)
-            ((ended, found),) = told
+            client.join(60)
+            ((ended, found),) = results
             self.assertThat(ended, Equals(goes_on), json.dumps(found))
             self.assertThat([p["n"] for p in found], Equals(list(range(len(found)))))
             self.assertThat(len({p["run"] for p in found}), Equals(1))
@@ -112,7 +113,7 @@
         return sum(self.fleet.call(name, "GET", "/counts")[1]["ran"].values())
 
     def only_on(self, name):
-        """A model loaded on this engine and no other, once every wished copy is up."""
+        """A model that is loaded on this engine only, once every wished copy is loaded."""
         held = {
             e["name"]: {i for i, x in e["items"].items() if x["state"] == "loaded"}
             for e in self.fleet.call("c0", "GET", "/operator/read/engines")[1]["engines"]
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries of all routers together, judged for each service by a plain sliding window."""
+"""Retries of all routers together, checked for each service against a plain sliding window."""
 
 import random
 
@@ -16,13 +16,13 @@
 
 
 class Window:
-    """What happened, each at its time; `worst` is the slow, plain judgement."""
+    """The times of requests and retries; `worst` is a slow, plain check."""
 
     def __init__(self):
         self.requests_ms, self.retries_ms = [], []
 
     def worst(self):
-        """The most by which retries of some window exceed what its requests allow."""
+        """The largest excess of a window's retries over what its requests allow."""
         span_ms = 1000 * WINDOW_S
         found = []
         for first in self.retries_ms:
@@ -41,7 +41,7 @@
         return [Router(terms) for _ in range(ROUTERS)]
 
     def test_each_service_keeps_to_its_own_requests(self):
-        """Engines of one service fail all the while; the other one has most requests."""
+        """Engines of one service fail all the time; the other service has most of the requests."""
         names = tuple(f"c{n}" for n in range(ROUTERS))
         for seed in range(3):
             rng, routers = random.Random(seed), self.routers()
--- a/tests/test_slow_connecting.py
+++ b/tests/test_slow_connecting.py
@@ -1,7 +1,7 @@
-"""A node that stood still while it connected takes no engine for dead.
+"""A pause of this process while it connects doesn't make an engine look dead.
 
-The engine's system takes a connection at once; only we look late.  How long we looked away
-says nothing of the engine, so a connection that stands by then is used.
+The engine's system accepts a connection at once; only this process polls late.  The pause says
+nothing about the engine, so a connection that is established by then is used.
 """
 
 import socket
@@ -17,8 +17,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-def stand_still():
-    """Take up the time within which a connection has to stand."""
+def busy_wait():
+    """Use up the connect timeout."""
     end_s = time.monotonic() + 2 * CONNECT_MS / 1000
     while time.monotonic() < end_s:
         pass
@@ -32,7 +32,7 @@
         self.url = f"http://127.0.0.1:{self.listener.getsockname()[1]}"
 
     def answer(self):
-        """Take the connection and the request on it, and answer."""
+        """Accept the connection, read the request on it, and answer."""
         sock, _ = self.listener.accept()
         self.addCleanup(sock.close)
         got = b""
@@ -40,8 +40,8 @@
             got += sock.recv(65536)
         sock.sendall(ANSWER)
 
-    def full(self):
-        """Connections that fill the listener's line: another one is not taken."""
+    def fill_backlog(self):
+        """Fill the listener's backlog, so that no other connection is accepted."""
         self.listener.listen(0)
         for _ in range(4):
             sock = socket.socket()
@@ -55,7 +55,7 @@
         yield engine_calls.stream(ask, TIMEOUT_MS, CONNECT_MS)
 
     def end(self, source):
-        """The last event; the answer is given once the request has been sent."""
+        """The last event; the engine answers once the request has been sent."""
         for number, (kind, value) in enumerate(source):
             if kind == "end":
                 return value
@@ -63,25 +63,25 @@
                 self.answer()
         return None
 
-    # A counter on a full machine took engines for dead that had taken its connections, and
-    # sent their callers away with "all-busy".
-    def test_a_connection_that_stands_when_we_look_again_is_used(self):
+    # A node on a busy machine took engines for dead that had accepted its connections, and
+    # refused their callers with "all-busy".
+    def test_a_connection_established_during_a_pause_is_used(self):
         for source in self.sources():
             self.assertThat(next(source)[0], Equals("idle"))
-            stand_still()
+            busy_wait()
             ended = self.end(source)
             self.assertThat((ended.code, ended.request_sent, ended.cause), Equals((200, True, "")))
 
-    def test_an_engine_that_takes_no_connection_is_left_in_time(self):
-        self.full()
+    def test_connecting_to_an_engine_that_does_not_accept_times_out(self):
+        self.fill_backlog()
         for source in self.sources():
             begun_s = time.monotonic()
             *_, (kind, ended) = source
             self.assertThat((kind, ended.code, ended.request_sent), Equals(("end", 0, False)))
             self.assertThat(time.monotonic() - begun_s, LessThan(TIMEOUT_MS / 2000))
 
-    def test_a_call_leaves_it_in_time_as_well(self):
-        self.full()
+    def test_calls_time_out_as_well(self):
+        self.fill_backlog()
         ask = EngineRequest("GET", self.url + "/a", b"")
         for ended in (
             engine_calls.call(ask, TIMEOUT_MS, CONNECT_MS),
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -1,4 +1,4 @@
-"""A node that nobody has confirmed anything to lately doesn't say that a route isn't there."""
+"""A node whose state is stale doesn't answer that a route doesn't exist."""
 
 from types import SimpleNamespace
 
@@ -17,7 +17,7 @@
 
 
 def node_of(age_ms):
-    """As much of a node as a caller's request looks at."""
+    """The part of a node that handling a caller's request needs."""
     services = {"s": {"kind": "plain"}}
     registry = Registry(sections={"floor": written.section({}, services)})
     terms = router.RoutingSettings(STALE_MS, 1000.0, 100.0, 0.1, 10_000.0, 1000.0)
@@ -33,13 +33,13 @@
 
 class StaleRoute(TestCase):
     def outcome(self, age_ms):
-        told = {"host": "x.example", "path": "/added/lately/"}
-        (reply,) = passages.begin(node_of(age_ms), NOW_MS, "t", told, None)
+        request = {"host": "x.example", "path": "/added/lately/"}
+        (reply,) = passages.begin(node_of(age_ms), NOW_MS, "t", request, None)
         return reply.outcome
 
-    def test_not_there_is_told_only_by_who_knows(self):
+    def test_only_an_up_to_date_node_says_not_found(self):
         self.assertThat(self.outcome(0.5 * STALE_MS), Equals(failures.NotFound("route")))
 
-    def test_who_has_heard_nothing_says_when_to_come_back(self):
+    def test_a_stale_node_says_when_to_retry(self):
         for age_ms in (1.1 * STALE_MS, 20 * STALE_MS):
             self.assertIsInstance(self.outcome(age_ms), failures.Stale)
--- a/tests/test_task_completion.py
+++ b/tests/test_task_completion.py
@@ -1,5 +1,5 @@
-"""The owner hears of each task's end, whatever goes wrong on its way; a caller hears a
-promise only of what has not run, and a cut never looks whole."""
+"""The node's event loop learns of each task's end, whatever goes wrong; only a request that has
+not run is promised not to have run, and a cut response never looks complete."""
 
 import socket
 import struct
@@ -34,7 +34,7 @@
 
 
 class Relayed(TestCase):
-    """One leg whose events are given; `ends` is what the owner heard."""
+    """One attempt with the given events; `proofs` are those reported to the event loop."""
 
     def relay(self, events, environ=None, step=None, **request):
         self.proofs, self.closed = [], []
@@ -69,7 +69,7 @@
         relay = RequestRelay(ask, None, DIALECT, 100)
         return relay.serve("k", self.request, Attempt("e", "http://e", 1000.0), environ or {})
 
-    def test_an_error_on_the_way_ends_the_task(self):
+    def test_an_error_before_the_response_ends_the_task(self):
         for events in ([ValueError()], [("head", ResponseHead(200, "", OWN)), ValueError()]):
             self.assertRaises(ValueError, self.relay, events, kind="safe")
             self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
@@ -89,22 +89,22 @@
         response.close()
         self.assertThat(self.proofs, Equals(["gone"]))
 
-    # An engine's head that can't be passed on kept a place at that engine for ever.
-    def test_a_stream_that_cannot_be_given_ends(self):
+    # An engine's head that couldn't be passed on held a place at that engine for ever.
+    def test_a_stream_that_cannot_be_started_ends(self):
         for location in ("http://[", "http://h:99999999/"):
             head = ResponseHead(200, "", (*OWN, ("Location", location)))
             response = self.relay([("head", head), ("data", b"x")])
             environ = EnvironBuilder().get_environ()
-            self.assertRaises(ValueError, responses.start, response, environ, lambda *request: None)
+            self.assertRaises(ValueError, responses.start, response, environ, lambda *args: None)
             self.assertThat((self.proofs, self.closed), Equals((["gone"], [True])))
 
-    def test_a_stream_that_is_given_goes_on(self):
+    def test_a_stream_that_is_started_goes_on(self):
         response = self.relay([("head", ResponseHead(200, "", OWN)), ("data", b"x")])
-        parts = responses.start(response, EnvironBuilder().get_environ(), lambda *request: None)
+        parts = responses.start(response, EnvironBuilder().get_environ(), lambda *args: None)
         self.assertThat((next(iter(parts)), self.proofs), Equals((b"x", [])))
         parts.close()
 
-    def test_answers_without_a_body(self):
+    def test_responses_without_a_body(self):
         """Neither a HEAD nor a 204 is a stream, whatever the route's kind."""
         for method, code in (("HEAD", 200), ("POST", 204), ("POST", 304)):
             head = ResponseHead(code, "", (*OWN, ("Content-Length", "9")))
@@ -122,8 +122,8 @@
             if method == "HEAD":
                 self.assertThat(headers["Content-Length"], Equals("9"))
 
-    def test_the_length_is_that_of_what_is_passed_on(self):
-        """An engine that tells a length and sends chunks of another."""
+    def test_content_length_is_that_of_the_bytes_passed_on(self):
+        """The engine announces one length and sends chunks of another."""
         lengths = (*OWN, ("Content-Length", "3"), ("Transfer-Encoding", "chunked"))
         events = [
             ("head", ResponseHead(200, "", lengths)),
@@ -136,8 +136,9 @@
         self.assertThat(response.headers.getlist("Content-Length"), Equals([]))
         self.assertThat(b"".join(response.response), Equals(b"hello"))
 
-    def test_a_caller_that_ended_its_side_gets_no_whole_stream(self):
-        """It may still listen: what was cut because it seemed gone must look cut."""
+    def test_a_caller_that_half_closed_gets_no_complete_stream(self):
+        """It may still be reading: a stream that was cut because the caller seemed gone must look
+        cut."""
         events = [("head", ResponseHead(200, "", OWN)), ("data", b"id: 1\n\n"), ("idle", None)]
         for resumable in (False, True):
             ours, theirs = socket.socketpair()
@@ -150,7 +151,7 @@
             self.assertRaises(ConnectionError, next, parts)
             self.assertThat(self.proofs, Equals(["gone"]))
 
-    def test_no_promise_once_a_leg_may_have_run(self):
+    def test_no_promise_once_an_attempt_may_have_run(self):
         for failure in (
             failures.Overloaded(1000, "x"),
             failures.MajorityLost(1000),
@@ -167,7 +168,7 @@
                 self.assertThat(self.relay(end, step=failure).status_code, Equals(status))
 
 
-class Gone(TestCase):
+class DepartedCallers(TestCase):
     """Whether a caller has left, whatever it sent before."""
 
     def test_hung_up(self):
@@ -197,8 +198,8 @@
         self.assertTrue(hung_up(ours))
 
 
-class Routed(TestCase):
-    """The router's own last words."""
+class FinalResponses(TestCase):
+    """The router's own final responses."""
 
     def setUp(self):
         super().setUp()
@@ -211,8 +212,8 @@
             ),
         )
 
-    def proofs(self, *proofs, now_ms=1100.0):
-        """What is said after legs that ended so."""
+    def final_outcome(self, *proofs, now_ms=1100.0):
+        """The outcome after attempts with these proofs."""
         terms = router.RoutingSettings(1e12, 1000.0, 100.0, 1.0, 10000.0, 1e6, retryAllowance=100.0)
         routing = router.Router(terms)
         task = router.Task(
@@ -224,7 +225,7 @@
             reply, *_ = router.ended(routing, now_ms, self.floor, 0.0, NODES, "t", proof)
         return reply.outcome
 
-    def test_promised_only_what_has_not_run(self):
+    def test_only_requests_that_have_not_run_are_promised(self):
         for proofs, status in (
             (("not-run", "not-run"), 503),
             (("no-pipe", "no-pipe"), 503),
@@ -233,16 +234,16 @@
             (("not-run", "unknown"), 502),
             (("unknown", "no-pipe"), 502),
         ):
-            self.assertThat(self.proofs(*proofs).status, Equals(status), str(proofs))
+            self.assertThat(self.final_outcome(*proofs).status, Equals(status), str(proofs))
 
 
-class Asking(TestCase):
-    """Tokens of those who wait for the owner's word."""
+class Replies(TestCase):
+    """Replies of the event loop to the threads that wait for them."""
 
     def process(self, handle):
         return lone_counter(self, handle).start()
 
-    def test_a_word_that_comes_too_late_is_nobodys(self):
+    def test_a_late_reply_is_dropped(self):
         said = threading.Event()
 
         def handle(event):
@@ -259,7 +260,7 @@
         self.assertIsInstance(process.ask("u", "say", {}, 30), Done)
         self.assertThat((said.is_set(), process._waiting), Equals((True, {})))
 
-    def test_each_word_goes_to_whoever_asked(self):
+    def test_each_reply_goes_to_its_own_thread(self):
         """Many threads, some of which give up at once."""
         before = sys.getswitchinterval()
         self.addCleanup(sys.setswitchinterval, before)
@@ -288,7 +289,7 @@
 
 class Commands(TestCase):
     def test_operators_do_not_choose_the_id_of_a_command(self):
-        """Two that chose the same would get each other's answers."""
+        """Two operators that chose the same id would get each other's answers."""
         asked = []
 
         class Asked:
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -1,4 +1,4 @@
-"""Whose a request is, judged by the configuration in force at each of its attempts."""
+"""The tenant of a request, by the configuration in force at each of its attempts."""
 
 import json
 
@@ -27,46 +27,46 @@
 
 
 def only_outcome(outcomes):
-    """The one outcome, in short."""
+    """The only outcome, in short."""
     (outcome,) = outcomes.values()
     return outcome_in_short(outcome)
 
 
 class Admitted(TestCase):
-    # Guards against UNASKED: engines ran requests without the name of the key's tenant.
+    # Rule UNASKED: engines ran requests without the name of the key's tenant.
     def test_each_key_names_its_tenant(self):
         node = TenantNode({"a": tenant("k1", "k2"), "b": tenant("k3")})
         for key, name in ((b"k1", "a"), (b"k2", "a"), (b"k3", "b")):
             self.assertThat(only_outcome(node.send(f"t-{key}", key)), Equals(("attempt", name)))
             self.assertThat(node.requests[f"t-{key}"]["tenant"], Equals(name))
 
-    # Guards against ROUTE: a request ran though no configuration ever held its key.
+    # Rule ROUTE: a request ran although no configuration ever held its key.
     def test_an_unknown_key_is_refused_at_once(self):
         node = TenantNode({"a": tenant("k1", ""), "b": tenant()})
         for key in (b"", b"k", b"k11", b"K1", b"k1,k1", b" k1", b"\xff\x00"):
             self.assertThat(only_outcome(node.send("t", key)), Equals(UNKNOWN), repr(key))
             self.assertThat(node.node.router.tasks, Equals({}))
 
-    def test_a_public_route_asks_for_no_key(self):
+    def test_a_public_route_requires_no_key(self):
         node = TenantNode({"a": tenant("k1")})
         self.assertThat(only_outcome(node.send("t1", b"", OPEN)), Equals(("attempt", None)))
         self.assertThat(only_outcome(node.send("t2", b"unknown", OPEN)), Equals(("attempt", None)))
         self.assertThat(only_outcome(node.send("t3", b"k1", OPEN)), Equals(("attempt", "a")))
 
-    def test_without_tenants_no_key_is_asked_for(self):
+    def test_without_tenants_no_key_is_required(self):
         node = TenantNode({})
         for prefix in (OPEN, CLOSED):
             self.assertThat(
                 only_outcome(node.send(prefix, b"k1", prefix)), Equals(("attempt", None))
             )
 
-    def test_keys_of_any_letters(self):
+    def test_keys_with_any_characters(self):
         node = TenantNode({"a": tenant("clé-č"), "b": tenant("\ud800")})
         self.assertThat(only_outcome(node.send("t", "clé-č".encode())), Equals(("attempt", "a")))
         self.assertThat(only_outcome(node.send("t", "clé".encode("latin1"))), Equals(UNKNOWN))
 
-    # Guards against SHORT: a key that was added lately is refused for good by who can't know.
-    def test_a_node_that_may_not_know_a_key_says_when_to_come_back(self):
+    # Rule SHORT: a node that can't know a new key yet refused it for good.
+    def test_a_node_that_may_not_know_a_key_says_when_to_retry(self):
         for age_ms, kind in (
             (0.9 * BOUND_MS, failures.Unauthorized),
             (1.1 * BOUND_MS, failures.Stale),
@@ -76,8 +76,8 @@
             self.assertIsInstance(node.send("t", b"k2")["t"], kind)
             self.assertThat(only_outcome(node.send("t", b"k1")), Equals(("attempt", "a")))
 
-    # Guards against DENIED: a route that was added lately is refused for good by who can't know.
-    def test_a_node_that_may_not_know_a_route_says_when_to_come_back(self):
+    # Rule DENIED: a node that can't know a new route yet refused it for good.
+    def test_a_node_that_may_not_know_a_route_says_when_to_retry(self):
         for age_ms, kind in (
             (0.9 * BOUND_MS, failures.NotFound),
             (1.1 * BOUND_MS, failures.Stale),
@@ -87,7 +87,7 @@
 
 
 class Classes(TestCase):
-    def test_the_tenants_class_goes_before_the_routes(self):
+    def test_the_class_of_the_tenant_overrides_that_of_the_route(self):
         node = TenantNode({"a": tenant("k1", rank=0), "b": tenant("k2", rank=9), "c": tenant("k3")})
         for key, rank in ((b"k1", 0), (b"k2", 9), (b"k3", ROUTE_RANK)):
             outcomes = node.send("t", key)
@@ -96,19 +96,19 @@
             self.assertThat(task.urgency, Equals(rank))
             self.assertThat((task.rank, task.cls), Equals((ROUTE_RANK, f"rank{ROUTE_RANK}")))
 
-    def test_a_public_route_without_a_key_has_its_own(self):
+    def test_without_a_key_the_class_of_the_route_applies(self):
         node = TenantNode({"a": tenant("k1", rank=0)})
         self.assertThat(node.send("t", b"", OPEN)["t"].rank, Equals(ROUTE_RANK))
         self.assertThat(node.send("t", b"k1", OPEN)["t"].rank, Equals(0))
 
-    def test_it_follows_the_key(self):
+    def test_the_class_follows_the_key(self):
         node = TenantNode({"a": tenant("k1", rank=0)}, loaded=False)
         node.send("t", b"k1")
         node.configure({"b": tenant("k1")})
         self.assertThat(node.load(True)["t"].rank, Equals(ROUTE_RANK))
 
 
-class Changed(TestCase):
+class ChangedKeys(TestCase):
     def test_a_key_that_moves_within_one_version(self):
         node = TenantNode({"a": tenant("k1"), "b": tenant("k2")})
         node.configure({"a": tenant("k2"), "b": tenant("k1")})
@@ -116,12 +116,12 @@
         self.assertThat(only_outcome(node.send("t", b"k2")), Equals(("attempt", "a")))
 
     def test_a_tenant_that_loses_its_last_key(self):
-        """Keys are still asked for, even if no tenant has any."""
+        """Keys are still required, even if no tenant has any."""
         node = TenantNode({"a": tenant("k1")})
         node.configure({"a": tenant()})
         self.assertThat(only_outcome(node.send("t", b"k1")), Equals(UNKNOWN))
 
-    def test_a_key_that_returns(self):
+    def test_a_key_that_is_added_again(self):
         node = TenantNode({"a": tenant("k1")})
         for held in (False, True, False, True):
             node.configure({"a": tenant("k1") if held else tenant()})
@@ -130,30 +130,30 @@
 
 
 class Waiting(TestCase):
-    # Guards against UNASKED: a request in line ran with a key that was taken away meanwhile.
-    def test_revoked_in_line_it_is_refused_when_the_configuration_changes(self):
+    # Rule UNASKED: a waiting request ran with a key that had been removed meanwhile.
+    def test_a_waiting_request_is_refused_when_its_key_is_removed(self):
         node = TenantNode({"a": tenant("k1", "k2")}, loaded=False)
         self.assertThat((node.send("t1", b"k1"), node.send("t2", b"k2")), Equals(({}, {})))
-        told = node.configure({"a": tenant("k2")})
+        outcomes = node.configure({"a": tenant("k2")})
         self.assertThat(
-            {token: outcome_in_short(outcome) for token, outcome in told.items()},
+            {token: outcome_in_short(outcome) for token, outcome in outcomes.items()},
             Equals({"t1": UNKNOWN}),
         )
         self.assertThat(only_outcome(node.load(True)), Equals(("attempt", "a")))
 
-    def test_its_place_is_given_back(self):
+    def test_a_refused_request_leaves_the_queue(self):
         node = TenantNode({"a": tenant("k1")}, loaded=False)
         node.send("t", b"k1")
         node.configure({"a": tenant()})
         self.assertThat(node.node.router.tasks, Equals({}))
 
-    def test_moved_in_line_it_runs_for_the_new_tenant(self):
+    def test_a_waiting_request_runs_for_the_new_tenant_of_its_key(self):
         node = TenantNode({"a": tenant("k1")}, loaded=False)
         node.send("t", b"k1")
         self.assertThat(node.configure({"b": tenant("k1")}), Equals({}))
         self.assertThat(only_outcome(node.load(True)), Equals(("attempt", "b")))
 
-    def test_a_public_routes_goes_on_without_a_tenant(self):
+    def test_a_request_on_a_public_route_goes_on_without_a_tenant(self):
         node = TenantNode({"a": tenant("k1")}, loaded=False)
         node.send("t", b"k1", OPEN)
         self.assertThat(node.configure({"a": tenant()}), Equals({}))
@@ -161,7 +161,7 @@
 
 
 class Retried(TestCase):
-    # Guards against UNASKED: a retry ran with a key that was taken away meanwhile.
+    # Rule UNASKED: a retry ran with a key that had been removed meanwhile.
     def test_after_revocation(self):
         for proof, expected in (
             ("not-run", UNKNOWN),
@@ -183,7 +183,7 @@
             )
 
     def test_no_second_attempt_after_silence(self):
-        """The one that is out began while the key was held, and goes on."""
+        """The attempt in flight started while the key was valid, and goes on."""
         for tenants_after, kind in (({"a": tenant()}, KeepWaiting), ({"b": tenant("k1")}, Attempt)):
             node = TenantNode({"a": tenant("k1")})
             node.send("t", b"k1")
@@ -207,7 +207,7 @@
 
 
 class Hidden(TestCase):
-    # Guards against keys in logs and answers.
+    # Guards against keys in logs and responses.
     def test_a_refusal_shows_a_part_of_the_digest(self):
         node = TenantNode({"a": tenant("k1")})
         outcome = node.send("t", b"secret-key")["t"]
--- a/tests/test_tenant_sequences.py
+++ b/tests/test_tenant_sequences.py
@@ -1,5 +1,5 @@
-"""Any order of requests, failed attempts, loads and changes of keys, against a slow plain
-model: a list of requests, and a scan over the tenants for each attempt."""
+"""Any order of requests, failed attempts, loads and changes of keys, against a slow plain model: a
+list of requests, and a scan of the tenants for each attempt."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
 
 
 class PlainModel:
-    """What each step must tell, as {token: outcome in short}."""
+    """The expected result of each step, as {token: outcome in short}."""
 
     def __init__(self):
         self.tenants, self.loaded, self.requests = {}, True, {}
@@ -36,7 +36,7 @@
         return held[0] if held else None
 
     def _attempt(self, request):
-        """What a request is told when it is its turn; None: nothing yet."""
+        """The outcome of a request's next attempt; None if it has to wait."""
         holder = self._holder(request.key)
         if holder is None and self.tenants and not request.public:
             return self._end(request, UNKNOWN)
@@ -99,6 +99,7 @@
 
 
 def _tenants(drawn):
+    """{name: tenant} of drawn holders of keys and classes of tenants."""
     holders, ranks = drawn
     return {
         name: tenant(*(k for k, holder in holders.items() if holder == name), rank=ranks.get(name))
@@ -117,8 +118,7 @@
 
 
 class Sequences(TestCase):
-    # Guards against UNASKED and ROUTE: any attempt judged by another configuration than
-    # the one in force.
+    # Rules UNASKED and ROUTE: an attempt used another configuration than the one in force.
     @settings(max_examples=200, deadline=None)
     @given(st.lists(STEPS, min_size=3, max_size=25))
     def test_every_attempt_is_judged_by_the_configuration_in_force(self, steps):
