--- a/libs/configuration/src/configuration/change_validation.py
+++ b/libs/configuration/src/configuration/change_validation.py
@@ -1,4 +1,4 @@
-"""Validates the changes that operators request against the current registry, one rule a verb."""
+"""Validates operators' changes against the current registry, with one rule per verb."""
 
 from transport.failures import FieldWrong, LayoutWrong, NotFound, StampStale, WrongPartner
 
--- a/libs/configuration/src/configuration/checked_document.py
+++ b/libs/configuration/src/configuration/checked_document.py
@@ -1,4 +1,4 @@
-"""What is known of the current document, so that checking a change costs what it changes.
+"""The checked state of the current document: the cost of a change depends on what it changes.
 
 The facts of each item are read and checked once.  `is_surely_valid` is true only if the check
 of the whole document would find no fault; in any other case the whole document is checked,
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -311,7 +311,7 @@
 
 
 def for_started_request(failure):
-    """The failure to report for a request that may have run: none that promises it has not."""
+    """Replaces a failure that promises that a request hasn't run, for one that may have run."""
     return OutcomeUnknown("leg-broken") if failure.status in NOT_RUN_STATUSES else failure
 
 
--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -1,8 +1,8 @@
 """Messages between the processes of a deployment.
 
 A process has one of two roles: a depot keeps a replica of the log, a counter routes requests.
-Depots form one Raft group; counters follow the committed log (the feed) and hold the leases of
-shards, whose records they append to it.
+Depots form one Raft group.  All nodes follow the committed log (the feed); those of the role
+that the settings choose hold the leases of shards and append the shards' records to the log.
 
 Messages are plain dataclasses, encoded by `codec` in the order of their fields.  A message's
 number on the wire is its position in `_ALL`, from 1, so new messages are added at its end only.
--- a/libs/transport/src/transport/replication_messages.py
+++ b/libs/transport/src/transport/replication_messages.py
@@ -108,7 +108,7 @@
     """The answer to AppendEntries.
 
     If `agreed`, the follower's synced log matches the leader's up to `index`; if not, the
-    leader should retry from `index`.
+    leader goes back and sends the entries after `index`.
     """
 
     term: int
