--- a/libs/configuration/src/configuration/merging.py
+++ b/libs/configuration/src/configuration/merging.py
@@ -41,10 +41,10 @@
         for name, s in partner_section["services"].items()
     }
     faults = list(_duplicate_names(sections, partner, checked))
-    faults += _shares(checked, merged)
-    faults += _weights(checked)
-    faults += _wishes(merged, services, partner, zones)
-    faults += _routes(merged, services, partner)
+    faults += _check_shares(checked, merged)
+    faults += _check_load_limits(checked)
+    faults += _check_wishes(merged, services, partner, zones)
+    faults += _check_routes(merged, services, partner)
     return (None, faults) if faults else (checked, [])
 
 
@@ -57,7 +57,7 @@
                 yield FieldWrong(f"{part}.{name}", f"already {other}'s")
 
 
-def _shares(checked, merged):
+def _check_shares(checked, merged):
     faults = []
     for name, service in checked["services"].items():
         total = sum(service["shares"].values())
@@ -68,7 +68,7 @@
     return faults
 
 
-def _weights(checked):
+def _check_load_limits(checked):
     faults = []
     for key in ("atOnce", "perMinute"):
         total_loads = sum(s["loads"][key] for s in checked["services"].values())
@@ -96,7 +96,7 @@
     return faults
 
 
-def _wishes(merged, services, partner, zones):
+def _check_wishes(merged, services, partner, zones):
     """Check all partners' wishes, since a change may remove a service or model that another
     partner's wish names."""
     faults = []
@@ -114,7 +114,7 @@
     return faults
 
 
-def _routes(merged, services, partner):
+def _check_routes(merged, services, partner):
     faults = []
     for owner, section in sorted(merged.items()):
         if owner == document_facts.OWNER:
