--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -1,11 +1,9 @@
-"""Messages between the processes of a deployment.
+"""Messages between processes: depots, which replicate the log in one Raft group, and counters,
+which route requests.  All nodes follow the committed log (the feed); those of the role that the
+settings choose hold leases of shards and append the shards' records to the log.
 
-A process has one of two roles: a depot keeps a replica of the log, a counter routes requests.
-Depots form one Raft group.  All nodes follow the committed log (the feed); those of the role
-that the settings choose hold the leases of shards and append the shards' records to the log.
-
-Messages are plain dataclasses, encoded by `codec` in the order of their fields.  A message's
-number on the wire is its position in `_ALL`, from 1, so new messages are added at its end only.
+`codec` writes the fields of a message in their order.  A message's number on the wire is its
+position in `_ALL`, from 1, so new messages are added at its end only.
 """
 
 from dataclasses import dataclass
@@ -38,12 +36,8 @@
 
 @dataclass(frozen=True)
 class NodeInfo:
-    """Name, role, zone and addresses of a process.
-
-    `address` serves the connections between processes, `http` the HTTP requests.
-    `incarnation` is new at each start; `identity` is that of a depot's data folder.  `empty`:
-    a depot that has no log yet and may be a founding member.
-    """
+    """`address` serves connections between processes, `http` HTTP requests; `incarnation` is new
+    at each start, `identity` that of a depot's data folder; `empty`: a depot without a log."""
 
     name: str
     role: str
@@ -57,13 +51,9 @@
 
 @dataclass(frozen=True)
 class GroupCard:
-    """The Raft group's members and leader as the sender knows them.
-
-    `stamp` is the log index of the newest membership entry.  Receivers keep the information
-    with the highest term and, within a term, the highest stamp.  `Gossip.group_digest` is a
-    checksum of the repr, so the names of this class, of Member and of their fields are part of
-    the protocol.
-    """
+    """The Raft group as the sender knows it; `stamp` is the log index of the newest membership
+    entry.  The highest (term, stamp) wins.  `Gossip.group_digest` is a checksum of the repr, so
+    the names of this class, of Member and of their fields are part of the protocol."""
 
     group: str
     term: int
@@ -75,14 +65,11 @@
 @dataclass(frozen=True)
 class Gossip:
     """What the sender knows of all nodes; also the first message on every connection.
-
-    `nodes` holds the nodes that the receiver may not know.  `digest` and `names_digest` are
-    hashes of the NodeInfos and of the names that the sender knows, its own included.
-    `silence`: for each node, the time since any node last had contact with it, one byte each;
-    in the order of all sorted names if the receiver is known to have the same `names_digest`,
-    else in the order of `nodes`.  `ages`: milliseconds since the sender first learned of each
-    of `nodes`.  `group` is empty if the receiver's last `group_digest` was the same.
-    """
+    `nodes`: those that the receiver may not know.  `digest`, `names_digest`: checksums of all
+    known NodeInfos and names, the sender's own included.  `silence`: a byte for each node, the
+    time since any node last had contact with it; in the order of all sorted names if the
+    receiver is known to have the same `names_digest`, else of `nodes`.  `ages`: milliseconds
+    since each of `nodes` was first met.  `group`: empty if the receiver has the same digest."""
 
     sender: NodeInfo
     wants_reply: bool
@@ -97,11 +84,8 @@
 
 @dataclass(frozen=True)
 class FeedRequest:
-    """A follower's periodic ping and request for the log entries after `index`.
-
-    `answered_sent_ms` is the `sent_ms` of the latest request of this node that the leader
-    answered, by the node's own clock.
-    """
+    """A follower's periodic ping and request for the log entries after `index`;
+    `answered_sent_ms` is the `sent_ms` of its latest request that the leader answered."""
 
     name: str
     address: str
@@ -114,11 +98,7 @@
 
 @dataclass(frozen=True)
 class FreshnessMark:
-    """Confirmation that `index` was the commit index at some time after `sent_ms`.
-
-    `sent_ms` is copied from the FeedRequest.  `direct`: sent by the leader, after a majority
-    has confirmed its leadership, and not passed on by another follower.
-    """
+    """`index` was the commit index at some time after `sent_ms`; `direct`: sent by the leader."""
 
     sent_ms: float
     term: int
@@ -128,7 +108,7 @@
 
 @dataclass(frozen=True)
 class FeedEntries:
-    """Committed log entries for a follower; `index` is that of the last one."""
+    """Committed log entries up to `index`, for a follower."""
 
     term: int
     index: int
@@ -137,8 +117,6 @@
 
 @dataclass(frozen=True)
 class FeedSnapshot:
-    """The replicated state at the log index `index`; travels as FeedChunks, never as a whole."""
-
     term: int
     index: int
     snapshot_term: int
@@ -147,11 +125,7 @@
 
 @dataclass(frozen=True)
 class BatchSection:
-    """Records of one shard inside a batch.
-
-    `kind` is one of the kinds in `replication.state_machine`; `first` is the position of the
-    first record within the shard, from 1.
-    """
+    """A shard's records in a batch, from position `first` on; `kind`: see `state_machine`."""
 
     shard: int
     epoch: int
@@ -171,8 +145,6 @@
 
 @dataclass(frozen=True)
 class ShardPosition:
-    """All records of a shard up to `position` are committed under this epoch of its lease."""
-
     shard: int
     epoch: int
     position: int
@@ -180,7 +152,7 @@
 
 @dataclass(frozen=True)
 class DurablePositions:
-    """The leader tells a lease holder up to which records its shards are committed."""
+    """The leader tells a lease holder the last committed position of each of its shards."""
 
     term: int
     positions: tuple[ShardPosition, ...]
@@ -188,11 +160,8 @@
 
 @dataclass(frozen=True)
 class AppendRefused:
-    """The leader rejects a BatchSection; `cause` is "epoch" or "place" (a gap before `first`).
-
-    `expected` is the epoch or the position that the leader would have accepted; `term` is the
-    leader's.
-    """
+    """The leader rejects a BatchSection; `cause` is "epoch" or "place" (a gap before `first`),
+    `expected` the epoch or position that it would accept, `term` the leader's."""
 
     shard: int
     epoch: int
@@ -223,10 +192,8 @@
 
 @dataclass(frozen=True)
 class ShardCommand:
-    """A request of an operator or a router, forwarded to the lease holder of a shard.
-
-    `address` is where the reply goes; `body` is JSON.
-    """
+    """An operator's or router's request, forwarded to a shard's lease holder; `address` is where
+    the ShardCommandReply goes, with an HTTP status; the bodies are JSON."""
 
     id: str
     shard: int
@@ -237,8 +204,6 @@
 
 @dataclass(frozen=True)
 class ShardCommandReply:
-    """The holder's reply: an HTTP status and a JSON body."""
-
     id: str
     status: int
     body: bytes
--- a/libs/transport/src/transport/transfer_messages.py
+++ b/libs/transport/src/transport/transfer_messages.py
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class FeedChunk:
-    """A chunk of the state, for a follower whose position is older than the oldest kept entry."""
+    """A chunk of a FeedSnapshot, for a follower that needs older entries than the leader keeps."""
 
     term: int
     chunk: Chunk
