--- a/libs/placement/src/placement/cluster_state.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -102,8 +102,8 @@
         for name in sorted(named)
         if registry_view.usable(state.registry, engines[name])
     ]
-    sound = [e for e in found if e["name"] not in ledger.suspects]
-    return sound if sound or item else found
+    healthy = [e for e in found if e["name"] not in ledger.suspects]
+    return healthy if healthy or item else found
 
 
 def serving_engines(state, names=None):
--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -64,8 +64,8 @@
 
 def request_rate(demand, now_ms, item):
     """The recent requests per second for an item."""
-    old, at_ms = demand.rates.get(item, (0.0, now_ms))
-    return old * math.exp(-max(0.0, now_ms - at_ms) / FADE_MS)
+    previous, at_ms = demand.rates.get(item, (0.0, now_ms))
+    return previous * math.exp(-max(0.0, now_ms - at_ms) / FADE_MS)
 
 
 def learn_request_time(demand, now_ms, running, requests_per_s):
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -1,10 +1,9 @@
 """Placement by demand, for services whose layout doesn't configure copies.
 
-Counters (nodes that route requests) report how often each item was requested; these rates decay.
-Items with waiting requests are loaded first, by priority; then the most requested models get more
-copies.  The items of least value are evicted: rarely requested ones, or ones with further copies.
-An engine on which room is made for an item is reserved until the item is loaded, so that nothing
-is evicted twice for it.
+Counters (nodes that route requests) report the demand for each item.  Items with waiting requests
+are loaded first, by priority; then the most requested models get more copies.  The items of least
+value are evicted: rarely requested ones, or ones with further copies.  An engine on which room is
+made for an item is reserved until the item is loaded, so that nothing is evicted twice for it.
 """
 
 from transport.rendezvous import weight
@@ -27,8 +26,11 @@
 _MAX_RESERVATION_MS = 9600.0
 _MAX_RATES = 4096
 _PAUSE_MS = 60.0
+# By this factor, a further copy of a model must be worth more than the copies evicted for it.
 _EXTRA_COPY_MARGIN = 1.5
+# Initial requests per second for each further copy of a model.
 _SEED_RATE = 16.0
+# Cost of a further copy in a zone that has one, in requests per second.
 _SAME_ZONE_COST = 0.2
 
 
@@ -77,19 +79,19 @@
         for item in view.wanted
         if not view.copies.get(item) and registry_view.item_size(view.registry, item) is not None
     ]
-    claims = {item: demand_view.priority(view, item) for item in missing}
-    by_claim = sorted(claims, key=lambda i: (-claims[i], i))
-    _place_items(view, [i for i in by_claim if "/" in i], claims)
+    priorities = {item: demand_view.priority(view, item) for item in missing}
+    by_priority = sorted(priorities, key=lambda i: (-priorities[i], i))
+    _place_items(view, [i for i in by_priority if "/" in i], priorities)
     _add_copies(view, eviction.needed_copies, 1.0)
-    _place_items(view, [i for i in by_claim if "/" not in i], claims)
+    _place_items(view, [i for i in by_priority if "/" not in i], priorities)
     _add_copies(view, eviction.wanted_copies, eviction.SPARE_COPY_FACTOR)
 
 
-def _place_items(view, items, claims):
+def _place_items(view, items, priorities):
     for item in items:
         if not view.idle:
             return
-        _place_item(view, item, claims[item])
+        _place_item(view, item, priorities[item])
 
 
 def _seed_rates(view):
@@ -139,24 +141,24 @@
     hosts = [n for n in view.hosts.get(model, ()) if n in view.idle]
     size = registry_view.item_size(view.registry, item)
 
-    def pushed(name):
+    def to_evict(name):
         items = view.placer.ledger.engines[name]
-        usedMb, places = registry_view.charged(view.registry, view.placer.ledger, name)
+        used_mb, places = registry_view.charged(view.registry, view.placer.ledger, name)
         if places + size[1] <= view.engines[name].places and (
-            usedMb + size[0] <= view.engines[name].roomMb
+            used_mb + size[0] <= view.engines[name].roomMb
         ):
             return ()
         adapters = [i for i in items if "/" in i and i not in view.waiting]
         return tuple(sorted(adapters, key=lambda i: view.rates.get(i, 0.0))[:1]) or None
 
     found = [
-        (sum(view.rates.get(i, 0.0) for i in out), weight(item, n), n, out)
-        for n in hosts
-        if (out := pushed(n)) is not None
+        (sum(view.rates.get(i, 0.0) for i in evicted), weight(item, host), host, evicted)
+        for host in hosts
+        if (evicted := to_evict(host)) is not None
     ]
     if found:
-        _, _, name, out = min(found)
-        _order_next_step(view, name, item, out)
+        _, _, name, evicted = min(found)
+        _order_next_step(view, name, item, evicted)
 
 
 def _blocked_adapter_rate(view, name):
@@ -170,15 +172,11 @@
     )
 
 
-def _place_model(view, model, current_hosts, max_cost):
+def _place_model(view, model, hosts, max_cost):
     """Choose the engine where a model costs least, and give the next order there."""
     size_mb = registry_view.item_size(view.registry, model)[0]
     reservation = view.placer.demand.reserved.get(model)
-    names = (
-        [reservation[0]]
-        if reservation
-        else [n for n in sorted(view.idle) if n not in current_hosts]
-    )
+    names = [reservation[0]] if reservation else [n for n in sorted(view.idle) if n not in hosts]
     reserved_engines = {m[0] for i, m in view.placer.demand.reserved.items() if i != model}
     found = []
     for name in names:
@@ -188,38 +186,38 @@
             or model in view.placer.ledger.engines.get(name, {})
         ):
             continue
-        pushed = eviction.eviction_for(view, name, model, size_mb)
-        if pushed is None or pushed[0] > max_cost:
+        proposed = eviction.eviction_for(view, name, model, size_mb)
+        if proposed is None or proposed[0] > max_cost:
             continue
         known = model in view.placer.demand.loaded_before.get(name, ())
-        zones = sum(1 for n in current_hosts if view.engines[n].zone == view.engines[name].zone)
+        zones = sum(1 for n in hosts if view.engines[n].zone == view.engines[name].zone)
         found.append(
             (
-                pushed[0] * (0.6 if known else 1.0)
+                proposed[0] * (0.6 if known else 1.0)
                 + _SAME_ZONE_COST * zones
                 + _blocked_adapter_rate(view, name),
                 not known,
                 weight(model, name),
                 name,
-                pushed[1],
+                proposed[1],
             )
         )
     if found:
-        name, out = min(found)[3:]
+        name, evicted = min(found)[3:]
         view.placer.demand.reserved.setdefault(model, (name, view.now_ms))
-        _order_next_step(view, name, model, out)
+        _order_next_step(view, name, model, evicted)
 
 
-def _order_next_step(view, name, item, out):
+def _order_next_step(view, name, item, evicted):
     """Unload the first item to evict, or load if there is none and the store allows it."""
     items = view.placer.ledger.engines.get(name, {})
-    if out:
+    if evicted:
         view.idle.discard(name)
-        entry = items[out[0]]
+        entry = items[evicted[0]]
         orders.give_order(
-            view.placer, name, out[0], "unload", entry["mb"], entry["places"], view.name
+            view.placer, name, evicted[0], "unload", entry["mb"], entry["places"], view.name
         )
-        view.copies[out[0]] = view.copies.get(out[0], 1) - 1
+        view.copies[evicted[0]] = view.copies.get(evicted[0], 1) - 1
         return
     known = item in view.placer.demand.loaded_before.get(name, ())
     if (
@@ -248,6 +246,6 @@
     for requests_per_s, model in sorted(found):
         if not view.idle:
             return
-        current_hosts = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
+        hosts = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
         max_cost = -requests_per_s * share / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
-        _place_model(view, model, current_hosts, max_cost)
+        _place_model(view, model, hosts, max_cost)
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -1,8 +1,8 @@
 """Follows the platform's list of engines; one node reads it for all.
 
 The lease holder of shard 0 requests the list page by page and logs only the changes.  An engine
-is removed only if a complete list lacks it; an incomplete list changes nothing for engines that
-it lacks.  The remaining warm-up time of an engine is logged when it starts, and again only if the
+is removed only if a complete list lacks it; a list that can't be read completely changes nothing.
+The remaining warm-up time of an engine is logged when it starts, and again only if the
 list says that it will take longer than expected.
 """
 
@@ -75,13 +75,14 @@
     for name, engine in poll.found.items():
         old = registry.engines.get(name)
         plain = {k: v for k, v in engine.items() if k != "warmMs"}
-        warmMs = int(engine.get("warmMs", 0))
+        warm_ms = int(engine.get("warmMs", 0))
         warmup_extended = (
-            warmMs > 0 and now_ms + warmMs > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
+            warm_ms > 0
+            and now_ms + warm_ms > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
         )
         if old is None or warmup_extended or any(old.get(k) != v for k, v in plain.items()):
             if warmup_extended:
-                poll.warm_until_ms[name] = now_ms + warmMs
+                poll.warm_until_ms[name] = now_ms + warm_ms
             left_ms = max(0, int(poll.warm_until_ms.get(name, now_ms) - now_ms))
             changed.append({**plain, **({"warmMs": left_ms} if left_ms else {})})
     for name, old in registry.engines.items():
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -8,7 +8,7 @@
 __all__ = ["SPARE_COPY_FACTOR", "needed_copies", "eviction_for", "wanted_copies", "copy_value"]
 
 # Share of their slots that a model's copies have in use: above the first, requests are refused;
-# copies beyond the second gain nothing.
+# below the second, more copies gain nothing.
 _MAX_UTILIZATION = 0.5
 _TARGET_UTILIZATION = 0.3
 _DEFAULT_SLOTS = 16
@@ -46,19 +46,22 @@
     return max(least, _copies_at(view, model, _TARGET_UTILIZATION))
 
 
-def _copies_at(view, model, part):
+def _copies_at(view, model, utilization):
     """How many copies a model's demand keeps at this utilization of their slots."""
     slots = max(1, view.service.get("slots") or _DEFAULT_SLOTS)
     return max(
-        1, math.ceil(view.rates.get(model, 0.0) * view.placer.demand.request_s / (part * slots))
+        1,
+        math.ceil(
+            view.rates.get(model, 0.0) * view.placer.demand.request_s / (utilization * slots)
+        ),
     )
 
 
 def eviction_for(view, name, model, size_mb):
     """(cost, models to evict) to make room for a model on an engine; None if there is no way."""
     items = view.placer.ledger.engines.get(name, {})
-    usedMb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
-    free_mb = view.engines[name].roomMb - usedMb
+    used_mb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
+    free_mb = view.engines[name].roomMb - used_mb
     if free_mb >= size_mb:
         return 0.0, ()
     found = []
@@ -71,15 +74,15 @@
         ):
             continue
         own_mb = sum(
-            registry_view.entry_charge(view.registry, i, e)[0]
-            for i, e in items.items()
-            if i.partition("/")[0] == other
+            registry_view.entry_charge(view.registry, item, charge)[0]
+            for item, charge in items.items()
+            if item.partition("/")[0] == other
         )
         found.append((copy_value(view, other), other, own_mb))
-    cost, out = 0.0, []
+    cost, evicted = 0.0, []
     for value, other, own_mb in sorted(found):
         if free_mb >= size_mb:
             break
         cost, free_mb = cost + value, free_mb + own_mb
-        out.append(other)
-    return (cost, tuple(out)) if free_mb >= size_mb else None
+        evicted.append(other)
+    return (cost, tuple(evicted)) if free_mb >= size_mb else None
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -92,9 +92,9 @@
     return _encode({"k": "hold", "hold": hold})
 
 
-def unhold_record(id_, why, retryMs=0):
+def unhold_record(id_, why, retry_ms=0):
     """A request no longer waits; with `retryMs`, it was rejected for the reason `why`."""
-    return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retryMs})
+    return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retry_ms})
 
 
 def unmet_record(service, unmet):
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -85,21 +85,21 @@
 def estimate_wait(placer, now_ms, service, loads, item, settings):
     """In how many ms an item will be loaded on some engine; None if no load is planned.  Engines
     that don't report or that get no work are not counted."""
-    loadMs = placer.plan.load_ms.get(service, 2 * settings.report_interval_ms)
+    mean_load_ms = placer.plan.load_ms.get(service, 2 * settings.report_interval_ms)
     base, _, adapter = item.partition("/")
     serving = _usable_engines(placer, service)
     entries = [
-        (n, e)
-        for n, items in placer.ledger.engines.items()
-        for i, e in items.items()
-        if i == item and e["verb"] == "load" and n in serving
+        (engine, entry)
+        for engine, items in placer.ledger.engines.items()
+        for name, entry in items.items()
+        if name == item and entry["verb"] == "load" and engine in serving
     ]
     if any(e["state"] == "loaded" for _, e in entries):
         return 0.0
     if entries:
         ended = [_call_ended_ms(placer, n, e) for n, e in entries]
         start_ms = max(now_ms if at_ms is None else at_ms for at_ms in ended)
-        return max(settings.report_interval_ms, loadMs - (now_ms - start_ms))
+        return max(settings.report_interval_ms, mean_load_ms - (now_ms - start_ms))
     places = [n for n, (_, i) in enumerate(placer.plan.queues.get(service, ()), 1) if i == item]
     if not places or not loads["atOnce"] or not loads["perMinute"]:
         return None
@@ -107,9 +107,9 @@
     per_ms = max(1e-9, store_rate(loads)[1])
     open_loads = ledgers.open_loads(placer.ledger, service)
     rate_ms = max(0.0, (places[0] - tokens) / per_ms)
-    turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * loadMs
+    turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * mean_load_ms
     steps = 2 if adapter and not _is_loaded_anywhere(placer, base) else 1
-    return max(rate_ms, turns_ms) + steps * (loadMs + settings.report_interval_ms)
+    return max(rate_ms, turns_ms) + steps * (mean_load_ms + settings.report_interval_ms)
 
 
 def _call_ended_ms(placer, engine, entry):
@@ -130,9 +130,11 @@
 
 def reject_unservable(placer, now_ms, service, loads, plan, settings):
     """Reject waiting requests that the plan has no room for or whose deadline can't be met."""
-    coming = {i for targets in plan.targets.values() for i in targets}
+    planned_items = {i for targets in plan.targets.values() for i in targets}
     serving = _usable_engines(placer, service)
-    coming |= {i for n, items in placer.ledger.engines.items() if n in serving for i in items}
+    planned_items |= {
+        i for n, items in placer.ledger.engines.items() if n in serving for i in items
+    }
     placer.wait_queue.estimated_ms = {
         i: ms for i, ms in placer.wait_queue.estimated_ms.items() if i in placer.ledger.holds
     }
@@ -140,22 +142,22 @@
         if hold["service"] != service:
             continue
         item = placement.item_name(hold["model"], hold["adapter"])
-        if item not in coming:
+        if item not in planned_items:
             _release(placer, id_, "no-room", 10 * settings.call_timeout_ms)
             continue
         wait_ms = estimate_wait(placer, now_ms, service, loads, item, settings)
         end_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
-        hope_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
-        overdue = now_ms > hope_ms + wait_ms and not _is_placed(placer, item)
+        expected_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
+        overdue = now_ms > expected_ms + wait_ms and not _is_placed(placer, item)
         if overdue or now_ms + 0.9 * wait_ms > end_ms:
             _release(placer, id_, "loads-queue", wait_ms)
 
 
-def _release(placer, id_, why, retryMs):
+def _release(placer, id_, why, retry_ms):
     placer.wait_queue.since_ms.pop(id_, None)
-    append_record(placer, ledgers.unhold_record(id_, why, int(max(1000, retryMs))))
+    append_record(placer, ledgers.unhold_record(id_, why, int(max(1000, retry_ms))))
 
 
 def drop_lost_counters(placer, lost):
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -29,8 +29,8 @@
     return notes
 
 
-def _add(placer, what, facts):
-    placer.notes.append(Note(what, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True))
+def _add(placer, event, facts):
+    placer.notes.append(Note(event, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True))
 
 
 def log_order(placer, engine, item, verb, order):
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -19,9 +19,9 @@
 def plan(placer, now_ms, registry, service_name, service, settings):
     """Compute the plan of a service and give the orders that may be given now."""
     placer.plan.refused_ms = {
-        k: ms
-        for k, ms in placer.plan.refused_ms.items()
-        if now_ms - ms < 2 * settings.call_timeout_ms
+        key: at_ms
+        for key, at_ms in placer.plan.refused_ms.items()
+        if now_ms - at_ms < 2 * settings.call_timeout_ms
     }
     engines = registry_view.placement_engines(
         registry, service_name, engine_view.reports_of(placer)
@@ -44,12 +44,12 @@
 def _current_plan(placer, registry, service_name, service, engines):
     """The service's plan, recomputed only when its inputs have changed."""
     inputs = (registry.stamp, placer.held.next, tuple(engines))
-    kept = placer.plan.plans.get(service_name)
-    if kept is not None and kept[0] == inputs:
-        return kept[1]
+    cached = placer.plan.plans.get(service_name)
+    if cached is not None and cached[0] == inputs:
+        return cached[1]
     present = {
-        e: {i for i, entry in items.items() if entry["verb"] == "load"}
-        for e, items in placer.ledger.engines.items()
+        engine: {item for item, entry in items.items() if entry["verb"] == "load"}
+        for engine, items in placer.ledger.engines.items()
     }
     wishes = registry_view.wishes_of(registry, service_name, placer.ledger)
     target_plan = placement.place(engines, wishes, registry_view.shares_of(service), present)
@@ -150,10 +150,10 @@
     if "/" in item and not ledgers.is_loaded(placer.ledger, engine.name, base):
         return False
     size = registry_view.item_size(registry, item)
-    usedMb, used_places = registry_view.charged(registry, placer.ledger, engine.name)
+    used_mb, used_places = registry_view.charged(registry, placer.ledger, engine.name)
     return (
         size is not None
-        and usedMb + size[0] <= engine.roomMb
+        and used_mb + size[0] <= engine.roomMb
         and used_places + size[1] <= engine.places
     )
 
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -60,12 +60,12 @@
     engines: dict
     shares: dict
     present: dict
-    totalMb: int
+    total_mb: int
     sizes: dict
     free_mb: dict
     free_places: dict
     plan: Plan
-    usedMb: dict = field(default_factory=dict)
+    used_mb: dict = field(default_factory=dict)
     copies: dict = field(default_factory=dict)
 
 
@@ -118,44 +118,44 @@
 
 def _zone_engines(work, wish):
     return [
-        n
-        for n, e in work.engines.items()
-        if (not wish.zones or e.zone in wish.zones) and wish.only in ("", n)
+        name
+        for name, engine in work.engines.items()
+        if (not wish.zones or engine.zone in wish.zones) and wish.only in ("", name)
     ]
 
 
 def _place_copy(work, wish, own_share):
     """Place one more copy of the wish; False if no engine can take it."""
     item = item_name(wish.model, wish.adapter)
-    own_engines = work.copies.setdefault(wish.id, set())
-    found = [n for n in _zone_engines(work, wish) if n not in own_engines and _fits(work, wish, n)]
+    placed_on = work.copies.setdefault(wish.id, set())
+    found = [n for n in _zone_engines(work, wish) if n not in placed_on and _fits(work, wish, n)]
     if own_share:
         left_mb = (
-            work.shares.get(wish.partner, 0.0) * work.totalMb
+            work.shares.get(wish.partner, 0.0) * work.total_mb
             + 1e-6
-            - work.usedMb.get(wish.partner, 0)
+            - work.used_mb.get(wish.partner, 0)
         )
         found = [n for n in found if _cost(work, wish, n) <= left_mb]
     if not found:
         return False
     zones: dict = {}
-    for name in own_engines:
+    for name in placed_on:
         zones[work.engines[name].zone] = zones.get(work.engines[name].zone, 0) + 1
     best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
     _assign(work, wish, item, best)
-    own_engines.add(best)
+    placed_on.add(best)
     if not own_share and wish.yields < BEST_EFFORT:
         work.plan.lent.add((best, item))
     return True
 
 
 def _rank(work, wish, item, name, zones):
-    here = work.present.get(name, ())
+    present_items = work.present.get(name, ())
     cost_mb = _cost(work, wish, name)
-    held_mb = sum(work.sizes.get(i, 0) for i in here if i not in work.plan.targets[name])
-    evicts = wish.model not in here and held_mb + cost_mb > work.free_mb[name]
+    held_mb = sum(work.sizes.get(i, 0) for i in present_items if i not in work.plan.targets[name])
+    evicts = wish.model not in present_items and held_mb + cost_mb > work.free_mb[name]
     return (
-        item not in here,
+        item not in present_items,
         zones.get(work.engines[name].zone, 0),
         evicts,
         cost_mb,
@@ -168,7 +168,7 @@
     targets = work.plan.targets[name]
     cost_mb = _cost(work, wish, name)
     work.free_mb[name] -= cost_mb
-    work.usedMb[wish.partner] = work.usedMb.get(wish.partner, 0) + cost_mb
+    work.used_mb[wish.partner] = work.used_mb.get(wish.partner, 0) + cost_mb
     if wish.adapter and item not in targets:
         work.free_places[name] -= wish.places
     targets.setdefault(wish.model, wish.id)
@@ -177,8 +177,8 @@
 
 def _unmet_reason(work, wish):
     zone = _zone_engines(work, wish)
-    own_engines = work.copies.get(wish.id, set())
-    others = [n for n in zone if n not in own_engines]
+    placed_on = work.copies.get(wish.id, set())
+    others = [n for n in zone if n not in placed_on]
     winners = sorted({w for n in others for w in work.plan.targets[n].values() if w != wish.id})
     if not zone:
         rule = "no-engine-in-zone"
@@ -190,12 +190,12 @@
         rule = "no-room"
     else:
         rule = "no-adapter-place"
-    over_share = work.usedMb.get(wish.partner, 0) >= (
-        work.shares.get(wish.partner, 0.0) * work.totalMb - wish.roomMb
+    over_share = work.used_mb.get(wish.partner, 0) >= (
+        work.shares.get(wish.partner, 0.0) * work.total_mb - wish.roomMb
     )
     return {
         "wanted": wish.copies,
-        "placed": len(own_engines),
+        "placed": len(placed_on),
         "rule": rule,
         "shareSpent": over_share,
         "partner": wish.partner,
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -37,8 +37,8 @@
 
 
 def on_taken_over(placer, now_ms, settings):
-    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.  An
-    earlier lease holder on this node has ended, so only its last calls may be in flight."""
+    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.  The
+    wait is short if this node held the lease: only its last calls may still be in flight."""
     placer.ledger = ledgers.load(placer.held.checkpoint)
     for record in placer.held.records:
         ledgers.apply(placer.ledger, record)
@@ -115,9 +115,9 @@
     if not service.get("byDemand") or not engine_view.count_known(view) or view.first_missing_ms:
         return settings.report_interval_ms
     if any(
-        e["state"] == "unknown"
-        or (e["state"] == "intended" and not engine_view.call_open(view, e["order"]))
-        for e in placer.ledger.engines.get(engine["name"], {}).values()
+        entry["state"] == "unknown"
+        or (entry["state"] == "intended" and not engine_view.call_open(view, entry["order"]))
+        for entry in placer.ledger.engines.get(engine["name"], {}).values()
     ):
         return settings.report_interval_ms
     return 5 * settings.report_interval_ms
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -29,9 +29,9 @@
 
 def record_outcomes(history, now_ms, counts, fade_ms):
     """Record a router's counts of attempts, {engine: (good, bad, without a response)}."""
-    for engine, (good, bad, late) in counts.items():
+    for engine, (good, bad, unanswered) in counts.items():
         outcomes = history.outcomes.setdefault(engine, Outcomes(at_ms=now_ms))
-        outcomes.add(now_ms, fade_ms, good, bad, late)
+        outcomes.add(now_ms, fade_ms, good, bad, unanswered)
 
 
 def update_suspects(placer, now_ms, registry, shards, settings):
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -42,7 +42,7 @@
         return "engine kept for another model"
     if name not in view.idle:
         return "engine busy"
-    pushed = eviction.eviction_for(view, name, model, size_mb)
-    if pushed is None:
+    proposed = eviction.eviction_for(view, name, model, size_mb)
+    if proposed is None:
         return "no room can be freed"
-    return "lower priority" if pushed[0] > priority(view, model) else "store"
+    return "lower priority" if proposed[0] > priority(view, model) else "store"
