--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -7,7 +7,7 @@
 taken before.
 """
 
-from transport.effects import Call, Wake
+from transport.effects import EngineCall, Wake
 
 from placement import engine_view, load_queue, order_notes, registry_view
 from placement import ledger as ledgers
@@ -37,7 +37,7 @@
     """Start a call to an engine; it is kept in `placer.calls` until it ends."""
     expected = body.get("expected")
     placer.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
-    return Call(
+    return EngineCall(
         f"{placer.shard}|{placer.epoch}|{id_}",
         engine["name"],
         engine["url"],
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.effects import Call
+from transport.effects import EngineCall
 
 __all__ = ["EngineListPoll", "tick", "on_called"]
 
@@ -43,7 +43,7 @@
 
 
 def _page_call(poll, settings, address, id_):
-    return Call(
+    return EngineCall(
         f"{id_}|list:{poll.round}",
         "",
         address,
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -1,11 +1,11 @@
 """The log lines of a placer: each order, and the response or report that settled it.
 
 One line for an order and one for its end show afterwards which response or report made the placer
-conclude that an engine had room.  Lines are collected while the placer works and emitted as `Note`
-effects by `drain`.
+conclude that an engine had room.  Lines are collected while the placer works and emitted as
+`LogLine` effects by `drain`.
 """
 
-from transport.effects import Note
+from transport.effects import LogLine
 
 from placement import engine_view
 from placement import ledger as ledgers
@@ -30,7 +30,9 @@
 
 
 def _add(placer, event, facts):
-    placer.notes.append(Note(event, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True))
+    placer.notes.append(
+        LogLine(event, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True)
+    )
 
 
 def log_order(placer, engine, item, verb, order):
--- a/tests/test_engine_list_polling.py
+++ b/tests/test_engine_list_polling.py
@@ -7,7 +7,7 @@
 from placement.state import PlacerSettings
 from testtools import TestCase
 from testtools.matchers import Equals
-from transport.events import Called
+from transport.events import CallEnded
 
 TERMS = PlacerSettings(
     call_timeout_ms=100.0, report_interval_ms=100.0, unreachable_ms=1000.0, list_interval_ms=200.0
@@ -43,13 +43,13 @@
             (call,) = effects
             at = int(call.body["token"] or 0)
             rest = self.engines[at + size :]
-            told = Called(
+            told = CallEnded(
                 call.id,
                 200,
                 {"engines": self.engines[at : at + size], "next": str(at + size) if rest else None},
             )
             if page == fails:
-                told = Called(call.id, 429, {})
+                told = CallEnded(call.id, 429, {})
             effects, changed = engine_list_polling.on_called(
                 self.poll,
                 self.now_ms,
@@ -103,7 +103,7 @@
         poll, registry = engine_list_polling.EngineListPoll(), registries.Registry()
         (first,) = engine_list_polling.tick(poll, 1000.0, TERMS, "http://p", "0|1")
         engine_list_polling.tick(poll, 1300.0, TERMS, "http://p", "0|1")
-        told = Called(first.id, 200, {"engines": [entry("e0")], "next": None})
+        told = CallEnded(first.id, 200, {"engines": [entry("e0")], "next": None})
         self.assertThat(
             engine_list_polling.on_called(
                 poll, 1310.0, first.id.split("|", 2)[2], told, registry, TERMS, "http://p", "0|1"
