--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -1,8 +1,8 @@
 """The log lines of a placer: each order, and the response or report that settled it.
 
 One line for an order and one for its end show afterwards which response or report made the placer
-conclude that an engine had room.  Lines are collected while the placer works and emitted as `Note`
-effects by `drain`.
+conclude that an engine had room.  Lines are collected while the placer works and emitted as
+`LogLine` effects by `drain`.
 """
 
 from transport.effects import LogLine
@@ -29,9 +29,9 @@
     return notes
 
 
-def _add(placer, what, facts):
+def _add(placer, event, facts):
     placer.notes.append(
-        LogLine(what, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True)
+        LogLine(event, {"shard": placer.shard, "epoch": placer.epoch, **facts}, True)
     )
 
 
