--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -91,7 +91,7 @@
     """Tell the tasks that are decided by now, and send the asks that are due."""
     _forget_gone(node)
     decisions, asks = spending.advance(node.quotas.spending, now_ms)
-    effects = [Send(asking.to, asking.ask) for asking in asks]
+    effects = [Send(asking.to, asking.message) for asking in asks]
     for decision in decisions:
         task = node.router.tasks[decision.token]
         effects += _decided(node, now_ms, crew_of(node, now_ms), task, decision.outcome)
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -43,7 +43,7 @@
     """A request for tokens, to be sent to a depot."""
 
     to: str
-    ask: QuotaAsk
+    message: QuotaAsk
 
 
 @dataclass
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -145,11 +145,11 @@
 
     def _advance(self, name):
         counter = self.counters[name]
-        decisions, asks = spending.advance(counter.spending, self.now_ms)
+        decisions, lease_requests = spending.advance(counter.spending, self.now_ms)
         for decision in decisions:
             self._end(counter, decision.token, decision.outcome)
-        for asking in asks:
-            self._send(name, asking.to, asking.ask)
+        for lease_request in lease_requests:
+            self._send(name, lease_request.to, lease_request.message)
 
     def _learn_members(self, name, members):
         known = self.depots if self.asks_all_depots else members
@@ -266,5 +266,5 @@
 
     def share(self, outcome, tenants):
         """The fraction of these tenants' requests that ended so."""
-        asked = [r for r in self.requests if r.tenant in tenants]
-        return sum(r.outcome == outcome for r in asked) / max(1, len(asked))
+        selected = [r for r in self.requests if r.tenant in tenants]
+        return sum(r.outcome == outcome for r in selected) / max(1, len(selected))
--- a/tests/test_platform_relaying.py
+++ b/tests/test_platform_relaying.py
@@ -40,7 +40,7 @@
         """`left_ms`: the remaining time of each attempt, if given; no more attempts follow then."""
         sources, self.requests, self.proofs, self.closed = list(attempts), [], [], []
         ends_ms = None if left_ms is None else [time.monotonic() * 1000 + ms for ms in left_ms]
-        spent = failures.OutcomeUnknown("leg-broken")
+        exhausted = failures.OutcomeUnknown("leg-broken")
 
         def stream(pool, base, ask, timeout_ms, connect_ms, fresh, silent_ms):
             self.requests.append(ask)
@@ -52,7 +52,7 @@
         def next_attempt():
             number = len(self.requests)
             if not sources or ends_ms == []:
-                return spent
+                return exhausted
             end_ms = ends_ms.pop(0) if ends_ms else float("inf")
             return Attempt(f"e{number}", f"http://e{number}", 1000.0, end_ms=end_ms)
 
@@ -147,8 +147,8 @@
         self.assertThat(self.body(response), Equals((b"whole", True)))
 
     def test_nothing_sent(self):
-        for begun, proof in ((False, "no-pipe"), (True, "unknown")):
-            self.relay([[("end", AttemptEnd(0, b"", begun))]], PLAIN)
+        for request_sent, proof in ((False, "no-pipe"), (True, "unknown")):
+            self.relay([[("end", AttemptEnd(0, b"", request_sent))]], PLAIN)
             self.assertThat(self.proofs, Equals([proof]))
 
     def test_the_last_failure_is_passed_on_completely(self):
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -51,10 +51,11 @@
             self.assertThat(
                 spending.request_token(state, 0.0, limit, name), Equals(spending.Pending())
             )
-        _, asks = spending.advance(state, 0.0)
-        self.assertThat(len(asks), Equals(1))
+        _, lease_requests = spending.advance(state, 0.0)
+        self.assertThat(len(lease_requests), Equals(1))
         self.assertThat(
-            [(w.tenant, w.needed) for w in asks[0].ask.wants], Equals([("a", 2), ("b", 1)])
+            [(w.tenant, w.needed) for w in lease_requests[0].message.wants],
+            Equals([("a", 2), ("b", 1)]),
         )
         self.assertThat(spending.advance(state, 1.0), Equals(([], [])))
 
@@ -62,10 +63,12 @@
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 5, 5, 1).limit(0.0), "gone")
-        _, asks = spending.advance(state, 0.0)
+        _, lease_requests = spending.advance(state, 0.0)
         spending.cancel(state, "gone")
         share = grant_shares.Share(1, -1e12)
-        grant = granting.on_request(granting.GrantingState(SETTINGS), 1.0, asks[0].ask, share)
+        grant = granting.on_request(
+            granting.GrantingState(SETTINGS), 1.0, lease_requests[0].message, share
+        )
         spending.on_grant(state, 2.0, "only", grant)
         self.assertThat(spending.advance(state, 2.0), Equals(([], [])))
         self.assertThat(state.tenants["a"].spent, Equals(0))
@@ -97,8 +100,8 @@
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
-        _, asks = spending.advance(state, 0.0)
-        none_left = QuotaGrant(asks[0].ask.number, True, (EMPTY_FOR_20_S,))
+        _, lease_requests = spending.advance(state, 0.0)
+        none_left = QuotaGrant(lease_requests[0].message.number, True, (EMPTY_FOR_20_S,))
         spending.on_grant(state, 1.0, "only", none_left)
         spending.advance(state, 1.0)
         same = RateLimit("a", 2, 0.05, 1.0)
@@ -173,7 +176,7 @@
         name: grant_shares.GrantEligibility(name, quorum_timeout_ms, size)
         for name in set().union(*(m for _, m in changes))
     }
-    events, marks = [], dict.fromkeys(eligibility, -1e12)
+    events, heartbeats = [], dict.fromkeys(eligibility, -1e12)
     for name in eligibility:
         now_ms = 0.0
         while now_ms < at_ms + 2500:
@@ -185,9 +188,10 @@
         while seen[name] < len(changes) and changes[seen[name]][0] <= sent_ms:
             grant_shares.observe(eligibility[name], now_ms, changes[seen[name]][1], names)
             seen[name] += 1
-        marks[name] = max(marks[name], sent_ms)
+        heartbeats[name] = max(heartbeats[name], sent_ms)
         shares = [
-            grant_shares.current_share(s, now_ms, now_ms - marks[n]) for n, s in eligibility.items()
+            grant_shares.current_share(s, now_ms, now_ms - heartbeats[n])
+            for n, s in eligibility.items()
         ]
         worst = max(worst, sum(1 / share.parts for share in shares if share))
     return worst
--- a/tests/test_refusal_log.py
+++ b/tests/test_refusal_log.py
@@ -124,7 +124,7 @@
         self.assertThat(refusal, Equals(failures.Overloaded(1000, "engines-refused")))
         (facts,) = self.logged_facts()
         self.assertThat(facts, ContainsDict({"cause": Equals(refusal.cause)}))
-        self.assertThat(facts["legs"], Equals(["e0"]))
+        self.assertThat(facts["attempted"], Equals(["e0"]))
 
     def test_facts_about_the_other_engines(self):
         self.ledger.suspects["e1"] = True
@@ -141,4 +141,4 @@
             self.ended(token, "not-run")
             notes = self.logged_facts()
             self.assertThat(len(notes), Equals(expected))
-        self.assertThat(notes[0]["unnoted"], Equals(1))
+        self.assertThat(notes[0]["unlogged"], Equals(1))
--- a/tests/test_request_integrity.py
+++ b/tests/test_request_integrity.py
@@ -50,16 +50,16 @@
         engine = self._rng.choice(self._engines)
         return Attempt("i-1", engine.url, 3000.0, 0, tenant=tenant)
 
-    def post(self, token, verb, told):
-        told.update(
+    def post(self, token, verb, fields):
+        fields.update(
             kind=self._rng.choice(("safe", "unsafe", "stream")),
             resumable=False,
             aimMs=500.0,
             repeatable=self._rng.random() < 0.7,
         )
-        tenant = TENANTS.get(told.pop("key").decode())
+        tenant = TENANTS.get(fields.pop("key").decode())
         with self._lock:
-            self._left[token] = (2, told["repeatable"], tenant)
+            self._left[token] = (2, fields["repeatable"], tenant)
         future = Future()
         future.set_result(self._attempt(tenant))
         return future
@@ -92,7 +92,7 @@
         owner = Owner([UnrulyEngine(0, ("good",))], free_port())
         gateway, posted = Gateway(owner), []
         self.addCleanup(gateway.stop)
-        self.patch(owner, "post", lambda *asked: posted.append(asked) or Future())
+        self.patch(owner, "post", lambda *args: posted.append(args) or Future())
         request = measure(b"GET /a/ HTTP/1.1\r\nHost: h\r\nX-Try-Id: t\r\n\r\n", 10)
         for leaves in (False, True):
             ours, theirs = socket.socketpair()
--- a/tests/test_response_identity.py
+++ b/tests/test_response_identity.py
@@ -308,28 +308,28 @@
 class ClassifiedResponses(TestCase):
     """To which request a response belongs, judged by its head alone."""
 
-    def judged(self, code, kept=False, **headers):
+    def classify(self, code, kept=False, **headers):
         named = tuple((name.replace("_", "-"), value) for name, value in headers.items())
         return DIALECT.classify_response({"id": "t1"}, ResponseHead(code, "", named, kept))
 
     def test_without_the_id_of_the_request(self):
         """On a connection that carried another request, such a response proves nothing."""
-        self.assertThat(self.judged(200, X_Postmark="p"), Equals("foreign"))
+        self.assertThat(self.classify(200, X_Postmark="p"), Equals("foreign"))
         for kept, found in ((False, "not-run"), (True, "foreign")):
-            self.assertThat(self.judged(421, kept), Equals(found))
-            self.assertThat(self.judged(503, kept, X_Not_Run="full"), Equals(found))
+            self.assertThat(self.classify(421, kept), Equals(found))
+            self.assertThat(self.classify(503, kept, X_Not_Run="full"), Equals(found))
 
     def test_with_an_id(self):
         for kept in (False, True):
             for id_, found in (("t1", "not-run"), ("t2", "foreign"), ("", "foreign")):
-                self.assertThat(self.judged(421, kept, X_Try_Id=id_), Equals(found))
+                self.assertThat(self.classify(421, kept, X_Try_Id=id_), Equals(found))
                 self.assertThat(
-                    self.judged(503, kept, X_Try_Id=id_, X_Not_Run="full"), Equals(found)
+                    self.classify(503, kept, X_Try_Id=id_, X_Not_Run="full"), Equals(found)
                 )
-            self.assertThat(self.judged(200, kept, X_Try_Id="t1", X_Postmark="p"), Equals("ours"))
-            self.assertThat(self.judged(200, kept, X_Try_Id="t1"), Equals("foreign"))
-            self.assertThat(self.judged(500, kept, X_Try_Id="t1"), Equals("ours"))
+            self.assertThat(self.classify(200, kept, X_Try_Id="t1", X_Postmark="p"), Equals("ours"))
+            self.assertThat(self.classify(200, kept, X_Try_Id="t1"), Equals("foreign"))
+            self.assertThat(self.classify(500, kept, X_Try_Id="t1"), Equals("ours"))
             for code in (408, 429, 503):
                 self.assertThat(
-                    self.judged(code, kept, X_Try_Id="t1", X_Postmark="p"), Equals("foreign")
+                    self.classify(code, kept, X_Try_Id="t1", X_Postmark="p"), Equals("foreign")
                 )
--- a/tests/test_task_completion.py
+++ b/tests/test_task_completion.py
@@ -272,7 +272,7 @@
 
         process = self.process(handle)
 
-        def asks(number):
+        def ask_repeatedly(number):
             wrong = []
             for turn in range(300):
                 token = f"{number}.{turn}"
@@ -283,14 +283,14 @@
             return wrong
 
         with ThreadPoolExecutor(12) as pool:
-            self.assertThat(sum(pool.map(asks, range(12)), []), Equals([]))
+            self.assertThat(sum(pool.map(ask_repeatedly, range(12)), []), Equals([]))
         self.assertThat(process._waiting, Equals({}))
 
 
 class Commands(TestCase):
     def test_operators_do_not_choose_the_id_of_a_command(self):
         """Two operators that chose the same id would get each other's answers."""
-        asked = []
+        bodies = []
 
         class Asked:
             config = SimpleNamespace(
@@ -298,11 +298,11 @@
             )
 
             def ask(self, token, verb, body):
-                asked.append(body)
+                bodies.append(body)
                 return Done()
 
         request = Request(
             EnvironBuilder(method="POST", json={"id": "mine", "change": "c"}).get_environ()
         )
         server.Server(Asked())._change(request, "layout")
-        self.assertThat(asked, Equals([{"change": "c", "actor": ""}]))
+        self.assertThat(bodies, Equals([{"change": "c", "actor": ""}]))
