--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -48,12 +48,12 @@
 
 def update(depots, addresses):
     """Take over the depots of the current membership."""
-    available = tuple(sorted(addresses))
-    if available == depots.addresses:
+    current = tuple(sorted(addresses))
+    if current == depots.addresses:
         return
-    depots.addresses = available
-    depots.probe_at_ms = {a: at_ms for a, at_ms in depots.probe_at_ms.items() if a in available}
-    depots.delays_ms = {a: ms for a, ms in depots.delays_ms.items() if a in available}
+    depots.addresses = current
+    depots.probe_at_ms = {a: at_ms for a, at_ms in depots.probe_at_ms.items() if a in current}
+    depots.delays_ms = {a: ms for a, ms in depots.delays_ms.items() if a in current}
 
 
 def start(node, tenant, number):
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -137,10 +137,10 @@
 
 
 def _is_usable(tenant, lease, now_ms):
-    return _is_valid(lease, now_ms) or _has_request_since(tenant, lease.requested_ms)
+    return _is_valid(lease, now_ms) or _has_request_before(tenant, lease.requested_ms)
 
 
-def _has_request_since(tenant, requested_ms):
+def _has_request_before(tenant, requested_ms):
     """Whether a queued request had already arrived at `requested_ms`."""
     return bool(tenant.queue) and tenant.queue[0].arrived_ms <= requested_ms
 
@@ -178,7 +178,7 @@
     """Whether no token of a late answer could be spent any more."""
     if now_ms < _lease_end_ms(state, sent):
         return False
-    return not any(_has_request_since(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
+    return not any(_has_request_before(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
 
 
 def _stop_counting(state, sent):
