--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -13,8 +13,8 @@
 from replication import follower as follows
 from routing import router, wait_queue
 from transport import failures
-from transport.effects import Note, Send
-from transport.messages import QuotaGrant
+from transport.effects import LogLine, Send
+from transport.messages import QuotaReply
 
 from pulleyhitch import config as configs
 
@@ -121,7 +121,7 @@
 def on_ask(node, now_ms, sender, message):
     """Another node, or this one, asks for tokens."""
     if node.depot is None:
-        return [Send(sender, QuotaGrant(message.number, False, ()))]
+        return [Send(sender, QuotaReply(message.number, False, ()))]
     _observe(node, now_ms)
     share = grant_shares.current_share(
         node.quotas.standing, now_ms, follows.age(node.follow, now_ms)
@@ -166,7 +166,7 @@
     quotas = node.quotas
     if not quotas.untold or now_ms - quotas.told_ms < _NOTE_MS:
         return []
-    note = Note("quota-refusals", {"tenants": quotas.untold})
+    note = LogLine("quota-refusals", {"tenants": quotas.untold})
     quotas.untold, quotas.told_ms = {}, now_ms
     return [note]
 
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.quota_messages import QuotaGiven, QuotaGrant
+from transport.quota_messages import QuotaReply, TokenGrant
 
 from quotas import bucket as buckets
 from quotas import grant_shares
@@ -50,12 +50,12 @@
 
 
 def on_request(state, now_ms, request, share):
-    """The QuotaGrant for a QuotaAsk; `share` is this depot's part, None if it may not grant."""
+    """The QuotaReply for a QuotaRequest; `share` is this depot's part, None if it may not grant."""
     if share is None:
-        return QuotaGrant(request.number, False, ())
+        return QuotaReply(request.number, False, ())
     if share != state.share:
         _apply_share(state, now_ms, share)
-    return QuotaGrant(
+    return QuotaReply(
         request.number, True, tuple(_grant(state, now_ms, w, share) for w in request.wants)
     )
 
@@ -72,11 +72,11 @@
 
 
 def _grant(state, now_ms, want, share):
-    """The QuotaGiven for one tenant: tokens for waiting requests first, then some ahead of
+    """The TokenGrant for one tenant: tokens for waiting requests first, then some ahead of
     demand."""
     held = _current_bucket(state, now_ms, want, share)
     if held is None:
-        return QuotaGiven(0, 0.0, _MAX_QUEUE_MS)
+        return TokenGrant(0, 0.0, _MAX_QUEUE_MS)
     needed = min(max(0, want.needed), buckets.whole_tokens(held.bucket))
     held.bucket = buckets.draw(held.bucket, needed)
     spare = held.bucket.tokens - _RESERVED_FRACTION * held.bucket.capacity
@@ -87,7 +87,7 @@
     if needed < want.needed:
         held.short += want.needed - needed
         wait_ms = _schedule_return(held, now_ms, want.needed - needed)
-    return QuotaGiven(given, held.bucket.tokens, wait_ms)
+    return TokenGrant(given, held.bucket.tokens, wait_ms)
 
 
 def _schedule_return(held, now_ms, count):
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-from transport.quota_messages import QuotaAsk, QuotaWant
+from transport.quota_messages import QuotaRequest, TokenDemand
 
 from quotas import demand as demands
 from quotas import depot_choice
@@ -210,12 +210,12 @@
 
 def _probe_requests(state, now_ms):
     due = depot_choice.probes_due(state.depots, now_ms)
-    return [LeaseRequest(to, QuotaAsk(_next_number(state), ())) for to in due]
+    return [LeaseRequest(to, QuotaRequest(_next_number(state), ())) for to in due]
 
 
 def _requests_due(state, now_ms):
     """One request to each depot that is asked for tokens now."""
-    wants: dict[str, list[QuotaWant]] = {}
+    wants: dict[str, list[TokenDemand]] = {}
     for name in sorted(state.queued):
         tenant = state.tenants[name]
         needed = len(tenant.queue) - tenant.tokens_requested
@@ -244,13 +244,13 @@
     limit = tenant.limit
     expected = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.settings))
     ahead = int(expected) if expected >= _LEASE_AHEAD_MIN else 0
-    return QuotaWant(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
+    return TokenDemand(limit.tenant, limit.version, limit.rate_per_s, limit.burst, needed, ahead)
 
 
 def _lease_request(state, now_ms, to, wants):
     number = _next_number(state)
     state.sent[number] = SentRequest(to, now_ms, wants)
-    return LeaseRequest(to, QuotaAsk(number, wants))
+    return LeaseRequest(to, QuotaRequest(number, wants))
 
 
 def _next_number(state):
--- a/libs/routing/src/routing/final_responses.py
+++ b/libs/routing/src/routing/final_responses.py
@@ -17,7 +17,7 @@
     """End a task with a failure.  A failure that promises that the task has not run is replaced if
     an attempt may have run it."""
     if task.may_have_run:
-        failure = failures.once_begun(failure)
+        failure = failures.for_started_request(failure)
     router.tasks.pop(task.token, None)
     router.refused += 1
     released = leave_queue(router, task, "refused")
--- a/libs/routing/src/routing/refusal_log.py
+++ b/libs/routing/src/routing/refusal_log.py
@@ -10,7 +10,7 @@
 from placement import ledger as ledgers
 from placement import world
 from placement.placement import item_name
-from transport.effects import Note
+from transport.effects import LogLine
 
 from routing import choice
 
@@ -54,7 +54,7 @@
         "enginesInAll": len(engines),
     }
     router.last_refusal_note_ms, router.unlogged_refusals = now_ms, 0
-    router.pending_notes.append(Note("refused", facts, True))
+    router.pending_notes.append(LogLine("refused", facts, True))
 
 
 def _describe_engine(router, now_ms, floor, task, item, engine, nodes):
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -9,7 +9,7 @@
 import time
 
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.wrappers import Response
 
 from routing import attempts, proxying, responses
@@ -40,7 +40,7 @@
         sock = environ.get("werkzeug.socket")
 
         def has_left():
-            return sock is not None and hung_up(sock)
+            return sock is not None and closed_by_peer(sock)
 
         try:
             return self._serve(token, request, step, has_left)
--- a/libs/routing/src/routing/serving.py
+++ b/libs/routing/src/routing/serving.py
@@ -5,7 +5,7 @@
 """
 
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 
 from routing import caller_api, engine_api, engine_calls, pieces
 from routing.router import Attempt
@@ -129,7 +129,7 @@
     may have run it."""
     if not isinstance(step, failures.Failure):
         step = failures.OutcomeUnknown("caller-left")
-    return caller_api.failure_response(failures.once_begun(step) if may_have_run else step)
+    return caller_api.failure_response(failures.for_started_request(step) if may_have_run else step)
 
 
 class _ResponseAborted(ConnectionError):
@@ -171,4 +171,4 @@
 def _departure_check(environ):
     """A function that says whether the caller has closed its end of the connection."""
     sock = environ.get("werkzeug.socket")
-    return lambda: sock is not None and hung_up(sock)
+    return lambda: sock is not None and closed_by_peer(sock)
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -12,9 +12,9 @@
 from quotas.settings import RateLimit
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
-from transport.quota_messages import QuotaAsk, QuotaGiven, QuotaGrant, QuotaWant
+from transport.quota_messages import QuotaReply, QuotaRequest, TokenDemand, TokenGrant
 
-EMPTY_FOR_20_S = QuotaGiven(0, 0.0, 20_000.0)
+EMPTY_FOR_20_S = TokenGrant(0, 0.0, 20_000.0)
 
 
 class Cores(TestCase):
@@ -79,8 +79,8 @@
     def test_thousands_of_tenants_are_granted_their_first_requests(self):
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(5, -1e12)
         for number in range(6000):
-            want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
-            grant = granting.on_request(state, float(number), QuotaAsk(1, (want,)), share)
+            want = TokenDemand(f"t{number}", 1, 0.01, 1.0, 1, 0)
+            grant = granting.on_request(state, float(number), QuotaRequest(1, (want,)), share)
             self.assertThat(grant.given[0].given, Equals(1))
 
     def test_a_full_depot_searches_for_room_once_a_second(self):
@@ -91,8 +91,8 @@
         )
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(5, -1e12)
         for number in range(300):
-            want = QuotaWant(f"t{number}", 1, 0.01, 1.0, 1, 0)
-            granting.on_request(state, 10.0 * number, QuotaAsk(1, (want,)), share)
+            want = TokenDemand(f"t{number}", 1, 0.01, 1.0, 1, 0)
+            granting.on_request(state, 10.0 * number, QuotaRequest(1, (want,)), share)
         self.assertThat(len(looks), LessThan(4))
 
     # Rule SHORT: a tenant whose limit was raised was refused because of older reports of depots.
@@ -101,7 +101,7 @@
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
         _, lease_requests = spending.advance(state, 0.0)
-        none_left = QuotaGrant(lease_requests[0].message.number, True, (EMPTY_FOR_20_S,))
+        none_left = QuotaReply(lease_requests[0].message.number, True, (EMPTY_FOR_20_S,))
         spending.on_grant(state, 1.0, "only", none_left)
         spending.advance(state, 1.0)
         same = RateLimit("a", 2, 0.05, 1.0)
@@ -117,8 +117,10 @@
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(1, -1e12)
         rng, given = random.Random(1), []
         for number in range(200):
-            want = spending.QuotaWant(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
-            grant = granting.on_request(state, 100.0 * number, spending.QuotaAsk(1, (want,)), share)
+            want = spending.TokenDemand(f"t{rng.randrange(60)}", 1, 0.2, 1.0, 1, 0)
+            grant = granting.on_request(
+                state, 100.0 * number, spending.QuotaRequest(1, (want,)), share
+            )
             given.append((want.tenant, grant.given[0].given))
             self.assertThat(len(state.tenants), LessThan(11))
         for name in {name for name, _ in given}:
@@ -131,8 +133,8 @@
         state, share = granting.GrantingState(SETTINGS), grant_shares.Share(2, -1e12)
 
         def ask(now_ms, version, rate, burst):
-            want = spending.QuotaWant("a", version, rate, burst, 1, 0)
-            granting.on_request(state, now_ms, spending.QuotaAsk(1, (want,)), share)
+            want = spending.TokenDemand("a", version, rate, burst, 1, 0)
+            granting.on_request(state, now_ms, spending.QuotaRequest(1, (want,)), share)
             return state.tenants["a"].bucket
 
         self.assertThat(ask(0.0, 2, 10.0, 100.0).capacity, Equals(57.5))
--- a/tests/test_task_completion.py
+++ b/tests/test_task_completion.py
@@ -25,7 +25,7 @@
 from testtools.matchers import Equals
 from transport import failures
 from transport.effects import Reply
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.test import EnvironBuilder
 from werkzeug.wrappers import Request
 
@@ -171,7 +171,7 @@
 class DepartedCallers(TestCase):
     """Whether a caller has left, whatever it sent before."""
 
-    def test_hung_up(self):
+    def test_closed_by_peer(self):
         for sent in (b"", b"bytes after its request"):
             for how in ("stay", "close", "half"):
                 ours, theirs = socket.socketpair()
@@ -182,9 +182,9 @@
                     theirs.close()
                 elif how == "half":
                     theirs.shutdown(socket.SHUT_WR)
-                self.assertThat(hung_up(ours), Equals(how != "stay"), f"{sent} {how}")
+                self.assertThat(closed_by_peer(ours), Equals(how != "stay"), f"{sent} {how}")
                 ours.close()
-                self.assertTrue(hung_up(ours))
+                self.assertTrue(closed_by_peer(ours))
 
     def test_reset(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -192,10 +192,10 @@
             ours, _ = listener.accept()
         self.addCleanup(ours.close)
         theirs.sendall(b"bytes after its request")
-        self.assertFalse(hung_up(ours))
+        self.assertFalse(closed_by_peer(ours))
         theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         theirs.close()
-        self.assertTrue(hung_up(ours))
+        self.assertTrue(closed_by_peer(ours))
 
 
 class FinalResponses(TestCase):
