--- a/libs/quotas/src/quotas/grant_shares.py
+++ b/libs/quotas/src/quotas/grant_shares.py
@@ -2,8 +2,9 @@
 
 The parts of all depots that grant at the same time never exceed the whole:
 
-- A depot grants while it is a member by the log that it follows, and a heartbeat of a majority
-  reached it within the quorum timeout.  One that was removed without knowing it stops then.
+- A depot grants while it is a member by the log that it follows, and a freshness mark confirmed
+  by a majority reached it within the quorum timeout.  A depot that was removed without knowing
+  it stops then.
 - After each start, a new member grants nothing for one quorum timeout after it first saw itself
   among the members.  A founder doesn't wait, since it replaced nobody, unless it has seen a
   membership without itself.  In the incarnation in which it founded the group its buckets are
@@ -94,11 +95,12 @@
     eligibility.past_counts.append(_MemberCount(members, now_ms + eligibility.quorum_timeout_ms))
 
 
-def current_share(eligibility, now_ms, heartbeat_age_ms):
-    """The Share that may be granted now, or None."""
+def current_share(eligibility, now_ms, mark_age_ms):
+    """The Share that may be granted now, or None.  `mark_age_ms`: the age of the last freshness
+    mark of a majority."""
     if eligibility.since_ms is None or now_ms < eligibility.since_ms:
         return None
-    if heartbeat_age_ms >= eligibility.quorum_timeout_ms:
+    if mark_age_ms >= eligibility.quorum_timeout_ms:
         return None
     past_counts = [count.members for count in eligibility.past_counts if count.until_ms > now_ms]
     return Share(max([len(eligibility.members), *past_counts]), eligibility.since_ms)
--- a/libs/quotas/src/quotas/settings.py
+++ b/libs/quotas/src/quotas/settings.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class QuotaSettings:
-    """`quorum_timeout_ms`: how long a depot goes on granting after the last heartbeat of a
+    """`quorum_timeout_ms`: how long a depot goes on granting after the last freshness mark of a
     majority, and how long a new member waits.  `answer_timeout_ms`: how long a node waits for a
     depot."""
 
--- a/libs/routing/src/routing/choice.py
+++ b/libs/routing/src/routing/choice.py
@@ -23,7 +23,7 @@
     "ms_until_place",
 ]
 
-# Fractions of an engine's slots that the classes 0, 1 and all lower ones may use.
+# Fractions of an engine's slots for classes 0 and 1 and for all lower classes.
 _CLASS_FRACTIONS = (1.0, 0.85, 0.6)
 # No engine gets more than this multiple of the mean number of attempts in flight.
 _LOAD_BOUND = 1.25
--- a/tests/quota_world.py
+++ b/tests/quota_world.py
@@ -16,7 +16,7 @@
 from quotas import grant_shares, granting, spending
 
 TICK_MS = 50.0
-HEARTBEAT_INTERVAL_MS = 300.0
+MARK_INTERVAL_MS = 300.0
 PATIENCE_MS = 2000.0
 
 
@@ -38,7 +38,7 @@
     eligibility: grant_shares.GrantEligibility
     granting: granting.GrantingState
     members: frozenset = frozenset()
-    last_heartbeat_ms: float = -1e12
+    last_mark_ms: float = -1e12
     paused_until_ms: float = 0.0
     alive: bool = True
     life: int = 0
@@ -184,7 +184,7 @@
             return self._advance(to)
         self._observe(node)
         share = grant_shares.current_share(
-            node.eligibility, self.now_ms, self.now_ms - node.last_heartbeat_ms
+            node.eligibility, self.now_ms, self.now_ms - node.last_mark_ms
         )
         self._send(to, sender, granting.on_request(node.granting, self.now_ms, message, share))
 
@@ -198,33 +198,33 @@
         self.depots[name] = Depot(
             name, eligibility, granting.GrantingState(self.settings), life=life
         )
-        self.after(self.random.uniform(0, HEARTBEAT_INTERVAL_MS), self._send_heartbeat, name, life)
+        self.after(self.random.uniform(0, MARK_INTERVAL_MS), self._request_mark, name, life)
 
-    def _send_heartbeat(self, name, life):
-        """Ask the group for a heartbeat, and get it a little later."""
+    def _request_mark(self, name, life):
+        """Request a freshness mark from the group, and get it a little later."""
         depot = self.depots[name]
         if depot.life != life or not depot.alive:
             return
         if depot.paused_until_ms > self.now_ms:
-            return self.at(depot.paused_until_ms, self._send_heartbeat, name, life)
+            return self.at(depot.paused_until_ms, self._request_mark, name, life)
         if name not in self.cut_off_group:
-            self.after(self.random.uniform(1, 4), self._confirm_heartbeat, name, life, self.now_ms)
-        self.after(HEARTBEAT_INTERVAL_MS, self._send_heartbeat, name, life)
+            self.after(self.random.uniform(1, 4), self._confirm_mark, name, life, self.now_ms)
+        self.after(MARK_INTERVAL_MS, self._request_mark, name, life)
 
-    def _confirm_heartbeat(self, name, life, sent_ms):
+    def _confirm_mark(self, name, life, sent_ms):
         self.after(
-            self.random.uniform(1, 4), self._heartbeat_confirmed, name, life, sent_ms, self.members
+            self.random.uniform(1, 4), self._mark_confirmed, name, life, sent_ms, self.members
         )
 
-    def _heartbeat_confirmed(self, name, life, sent_ms, members):
+    def _mark_confirmed(self, name, life, sent_ms, members):
         depot = self.depots[name]
         if depot.life != life:
             return
         if depot.paused_until_ms > self.now_ms:
             return self.at(
-                depot.paused_until_ms, self._heartbeat_confirmed, name, life, sent_ms, members
+                depot.paused_until_ms, self._mark_confirmed, name, life, sent_ms, members
             )
-        depot.members, depot.last_heartbeat_ms = members, sent_ms
+        depot.members, depot.last_mark_ms = members, sent_ms
         self._observe(depot)
 
     def _observe(self, depot):
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -162,7 +162,7 @@
 
 def worst_sum(seed):
     """The largest sum of the shares granted at one time.  Members change one at a time; each depot
-    gets heartbeats at random times and the changes in order."""
+    gets freshness marks at random times and the changes in order."""
     rng = random.Random(seed)
     size, quorum_timeout_ms = rng.choice([3, 5]), 1000.0
     names = [f"d{n}" for n in range(size)]
@@ -178,7 +178,7 @@
         name: grant_shares.GrantEligibility(name, quorum_timeout_ms, size)
         for name in set().union(*(m for _, m in changes))
     }
-    events, heartbeats = [], dict.fromkeys(eligibility, -1e12)
+    events, marks = [], dict.fromkeys(eligibility, -1e12)
     for name in eligibility:
         now_ms = 0.0
         while now_ms < at_ms + 2500:
@@ -190,10 +190,9 @@
         while seen[name] < len(changes) and changes[seen[name]][0] <= sent_ms:
             grant_shares.observe(eligibility[name], now_ms, changes[seen[name]][1], names)
             seen[name] += 1
-        heartbeats[name] = max(heartbeats[name], sent_ms)
+        marks[name] = max(marks[name], sent_ms)
         shares = [
-            grant_shares.current_share(s, now_ms, now_ms - heartbeats[n])
-            for n, s in eligibility.items()
+            grant_shares.current_share(s, now_ms, now_ms - marks[n]) for n, s in eligibility.items()
         ]
         worst = max(worst, sum(1 / share.parts for share in shares if share))
     return worst
--- a/tests/test_quota_mutants.py
+++ b/tests/test_quota_mutants.py
@@ -52,8 +52,8 @@
         )
 
     # Rule QUOTA: a removed depot that didn't know of its removal granted for ever.
-    def test_a_depot_that_grants_without_heartbeats(self):
-        def always(eligibility, now_ms, heartbeat_age_ms):
+    def test_a_depot_that_grants_without_freshness_marks(self):
+        def always(eligibility, now_ms, mark_age_ms):
             return true_share(eligibility, now_ms, 0.0)
 
         true_share = grant_shares.current_share
