--- a/tests/test_platform_relaying.py
+++ b/tests/test_platform_relaying.py
@@ -42,8 +42,8 @@
         ends_ms = None if left_ms is None else [time.monotonic() * 1000 + ms for ms in left_ms]
         exhausted = failures.OutcomeUnknown("leg-broken")
 
-        def stream(pool, base, ask, timeout_ms, connect_ms, fresh, silent_ms):
-            self.requests.append(ask)
+        def stream(pool, base, engine_request, timeout_ms, connect_ms, fresh, silent_ms):
+            self.requests.append(engine_request)
             try:
                 yield from sources.pop(0)
             finally:
@@ -274,7 +274,7 @@
         response = self.relay(attempts, STREAM, headers=("X-Try-Id: t1", "Last-Event-Id: 12"))
         self.assertThat(self.body(response), Equals((event(13) + event(14) + event(15), True)))
         resume_headers = [
-            [h for h in ask.headers if h.startswith("Last-Event-Id")] for ask in self.requests
+            [h for h in sent.headers if h.startswith("Last-Event-Id")] for sent in self.requests
         ]
         self.assertThat(
             resume_headers,
--- a/tests/test_request_integrity.py
+++ b/tests/test_request_integrity.py
@@ -114,19 +114,19 @@
             sent = set()
             for number in range(20):
                 body = bytes([65 + number]) * 300_000
-                ask = EngineRequest(
+                engine_request = EngineRequest(
                     "POST", f"{engine.url}/{number}", body, (f"X-Try-Id: {number}",)
                 )
-                sent.add((ask.method, f"/{number}", body))
-                list(proxying.stream(pool, engine.url, ask, 5000, 1000, False))
+                sent.add((engine_request.method, f"/{number}", body))
+                list(proxying.stream(pool, engine.url, engine_request, 5000, 1000, False))
             read = {(method, target, body) for method, target, _, body in engine.read}
             self.assertThat((read - sent, engine.strange), Equals((set(), [])))
 
     def test_only_a_request_that_was_sent_completely_leaves_its_connection(self):
         for sent_bytes, whole in ((0, False), (4, False), (5, True)):
             curl = SimpleNamespace(getinfo={pycurl.SIZE_UPLOAD_T: sent_bytes}.get)
-            ask = EngineRequest("POST", "http://e/", b"12345")
-            self.assertThat(proxying._sent_whole(curl, ask), Equals(whole))
+            engine_request = EngineRequest("POST", "http://e/", b"12345")
+            self.assertThat(proxying._sent_whole(curl, engine_request), Equals(whole))
 
 
 class RequestIntegrity(TestCase):
--- a/tests/test_response_identity.py
+++ b/tests/test_response_identity.py
@@ -198,10 +198,10 @@
                 b"B: 2\r\nContent-Length: 2\r\n\r\nok",
             ]
         )
-        ask = EngineRequest("GET", engine.url + "/", b"")
+        engine_request = EngineRequest("GET", engine.url + "/", b"")
         heads = []
         for kind, value in proxying.stream(
-            ConnectionPool(), engine.url, ask, WAIT_S * 1000, 5000, False
+            ConnectionPool(), engine.url, engine_request, WAIT_S * 1000, 5000, False
         ):
             if kind == "head":
                 heads.append(value.get("b"))
--- a/tests/test_slow_connecting.py
+++ b/tests/test_slow_connecting.py
@@ -50,9 +50,11 @@
             self.addCleanup(sock.close)
 
     def sources(self):
-        ask = EngineRequest("GET", self.url + "/a", b"")
-        yield proxying.stream(ConnectionPool(), self.url, ask, TIMEOUT_MS, CONNECT_MS, True)
-        yield engine_calls.stream(ask, TIMEOUT_MS, CONNECT_MS)
+        engine_request = EngineRequest("GET", self.url + "/a", b"")
+        yield proxying.stream(
+            ConnectionPool(), self.url, engine_request, TIMEOUT_MS, CONNECT_MS, True
+        )
+        yield engine_calls.stream(engine_request, TIMEOUT_MS, CONNECT_MS)
 
     def end(self, source):
         """The last event; the engine answers once the request has been sent."""
@@ -82,9 +84,9 @@
 
     def test_calls_time_out_as_well(self):
         self.fill_backlog()
-        ask = EngineRequest("GET", self.url + "/a", b"")
+        engine_request = EngineRequest("GET", self.url + "/a", b"")
         for ended in (
-            engine_calls.call(ask, TIMEOUT_MS, CONNECT_MS),
-            proxying.call(ConnectionPool(), ask, 4 * CONNECT_MS),
+            engine_calls.call(engine_request, TIMEOUT_MS, CONNECT_MS),
+            proxying.call(ConnectionPool(), engine_request, 4 * CONNECT_MS),
         ):
             self.assertThat((ended.code, ended.request_sent), Equals((0, False)))
