--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -27,16 +27,8 @@
     WaitingRequest,
 )
 
-__all__ = [
-    "LeaseRequest",
-    "Decision",
-    "Granted",
-    "Pending",
-    "Refused",
-    "SpendingState",
-    "TenantQueue",
-]
-__all__ += ["advance", "cancel", "on_grant", "request_token"]
+__all__ = ["LeaseRequest", "Decision", "Granted", "Pending", "Refused", "SpendingState"]
+__all__ += ["TenantQueue", "advance", "cancel", "on_grant", "request_token"]
 
 # Tokens are leased ahead of demand from this many expected requests per lease on.
 _LEASE_AHEAD_MIN = 2.0
@@ -121,8 +113,7 @@
 
 
 def _spend(tenant, now_ms, arrived_ms):
-    """Spend a token of the lease that ends first on a request that arrived at `arrived_ms`;
-    returns whether there was one."""
+    """Spend a token of the lease that ends first, if one may be used by this request."""
     tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_usable(tenant, x, now_ms)]
     found = [x for x in tenant.leases if _is_valid(x, now_ms) or arrived_ms <= x.requested_ms]
     if not found:
@@ -160,8 +151,7 @@
 
 
 def _time_out_requests(state, now_ms):
-    """Pass over depots that haven't answered in time, and forget requests whose answer would be
-    useless."""
+    """Pass over depots that are late; forget requests whose answer would be useless."""
     for number, sent in list(state.sent.items()):
         timeout_ms = depot_choice.answer_timeout_ms(
             state.depots, sent.to, state.settings.answer_timeout_ms
