--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -27,8 +27,8 @@
     WaitingRequest,
 )
 
-__all__ = ["LeaseRequest", "Decision", "Granted", "Pending", "Refused", "SpendingState"]
-__all__ += ["TenantQueue", "advance", "cancel", "on_grant", "request_token"]
+__all__ = ["Decision", "Granted", "Pending", "Refused", "TenantQueue", "advance", "cancel"]
+__all__ += ["LeaseRequest", "SpendingState", "on_grant", "request_token"]
 
 # Tokens are leased ahead of demand from this many expected requests per lease on.
 _LEASE_AHEAD_MIN = 2.0
