--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -72,7 +72,7 @@
 
 
 def _grant(state, now_ms, want, share):
-    """The QuotaGiven for one tenant: tokens for waiting requests first, then some ahead of
+    """The TokenGrant for one tenant: tokens for waiting requests first, then some ahead of
     demand."""
     held = _current_bucket(state, now_ms, want, share)
     if held is None:
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -27,16 +27,8 @@
     WaitingRequest,
 )
 
-__all__ = [
-    "LeaseRequest",
-    "Decision",
-    "Granted",
-    "Pending",
-    "Refused",
-    "SpendingState",
-    "TenantQueue",
-]
-__all__ += ["advance", "cancel", "on_grant", "request_token"]
+__all__ = ["Decision", "Granted", "Pending", "Refused", "TenantQueue", "advance", "cancel"]
+__all__ += ["LeaseRequest", "SpendingState", "on_grant", "request_token"]
 
 # Tokens are leased ahead of demand from this many expected requests per lease on.
 _LEASE_AHEAD_MIN = 2.0
@@ -121,8 +113,7 @@
 
 
 def _spend(tenant, now_ms, arrived_ms):
-    """Spend a token of the lease that ends first on a request that arrived at `arrived_ms`;
-    returns whether there was one."""
+    """Spend a token of the lease that ends first, if one may be used by this request."""
     tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_usable(tenant, x, now_ms)]
     found = [x for x in tenant.leases if _is_valid(x, now_ms) or arrived_ms <= x.requested_ms]
     if not found:
@@ -137,10 +128,10 @@
 
 
 def _is_usable(tenant, lease, now_ms):
-    return _is_valid(lease, now_ms) or _has_request_since(tenant, lease.requested_ms)
+    return _is_valid(lease, now_ms) or _has_request_before(tenant, lease.requested_ms)
 
 
-def _has_request_since(tenant, requested_ms):
+def _has_request_before(tenant, requested_ms):
     """Whether a queued request had already arrived at `requested_ms`."""
     return bool(tenant.queue) and tenant.queue[0].arrived_ms <= requested_ms
 
@@ -160,8 +151,7 @@
 
 
 def _time_out_requests(state, now_ms):
-    """Pass over depots that haven't answered in time, and forget requests whose answer would be
-    useless."""
+    """Pass over depots that are late; forget requests whose answer would be useless."""
     for number, sent in list(state.sent.items()):
         timeout_ms = depot_choice.answer_timeout_ms(
             state.depots, sent.to, state.settings.answer_timeout_ms
@@ -178,7 +168,7 @@
     """Whether no token of a late answer could be spent any more."""
     if now_ms < _lease_end_ms(state, sent):
         return False
-    return not any(_has_request_since(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
+    return not any(_has_request_before(state.tenants[w.tenant], sent.sent_ms) for w in sent.wants)
 
 
 def _stop_counting(state, sent):
--- a/tests/test_quota_cores.py
+++ b/tests/test_quota_cores.py
@@ -51,10 +51,11 @@
             self.assertThat(
                 spending.request_token(state, 0.0, limit, name), Equals(spending.Pending())
             )
-        _, asks = spending.advance(state, 0.0)
-        self.assertThat(len(asks), Equals(1))
+        _, lease_requests = spending.advance(state, 0.0)
+        self.assertThat(len(lease_requests), Equals(1))
         self.assertThat(
-            [(w.tenant, w.needed) for w in asks[0].ask.demands], Equals([("a", 2), ("b", 1)])
+            [(w.tenant, w.needed) for w in lease_requests[0].message.demands],
+            Equals([("a", 2), ("b", 1)]),
         )
         self.assertThat(spending.advance(state, 1.0), Equals(([], [])))
 
@@ -62,10 +63,12 @@
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 5, 5, 1).limit(0.0), "gone")
-        _, asks = spending.advance(state, 0.0)
+        _, lease_requests = spending.advance(state, 0.0)
         spending.cancel(state, "gone")
         share = grant_shares.Share(1, -1e12)
-        grant = granting.on_request(granting.GrantingState(SETTINGS), 1.0, asks[0].ask, share)
+        grant = granting.on_request(
+            granting.GrantingState(SETTINGS), 1.0, lease_requests[0].message, share
+        )
         spending.on_grant(state, 2.0, "only", grant)
         self.assertThat(spending.advance(state, 2.0), Equals(([], [])))
         self.assertThat(state.tenants["a"].spent, Equals(0))
@@ -97,8 +100,8 @@
         state = spending.SpendingState("n", SETTINGS)
         depot_choice.update(state.depots, ["only"])
         spending.request_token(state, 0.0, tenant("a", 0.05, 1, 1).limit(0.0), "first")
-        _, asks = spending.advance(state, 0.0)
-        none_left = QuotaReply(asks[0].ask.number, True, (EMPTY_FOR_20_S,))
+        _, lease_requests = spending.advance(state, 0.0)
+        none_left = QuotaReply(lease_requests[0].message.number, True, (EMPTY_FOR_20_S,))
         spending.on_grant(state, 1.0, "only", none_left)
         spending.advance(state, 1.0)
         same = RateLimit("a", 2, 0.05, 1.0)
@@ -159,7 +162,7 @@
 
 def worst_sum(seed):
     """The largest sum of the shares granted at one time.  Members change one at a time; each depot
-    gets heartbeats at random times and the changes in order."""
+    gets freshness marks at random times and the changes in order."""
     rng = random.Random(seed)
     size, quorum_timeout_ms = rng.choice([3, 5]), 1000.0
     names = [f"d{n}" for n in range(size)]
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -79,7 +79,7 @@
             self.outcomes[token] = outcome
 
         self.world.replies[(counter, host.life, token)] = answered
-        worlds.post(self.registry_view, host, e.LocalRequest(token, "passage", fields))
+        worlds.post(self.world, host, e.LocalRequest(token, "passage", fields))
         return token
 
     def load(self, per_s, span_ms, seed=1):
@@ -143,9 +143,9 @@
         registry.engines["q1"] = engine_facts("q1", "plain", slots=10**9)
         token = self.ask("c0")
         self.spin(20)
-        outcomes, host = [], self.registry_view.hosts["c0"]
-        self.registry_view.replies[("c0", host.life, token)] = outcomes.append
-        worlds.post(self.registry_view, host, e.LocalRequest(token, "ended", {"proof": "not-run"}))
+        outcomes, host = [], self.world.hosts["c0"]
+        self.world.replies[("c0", host.life, token)] = outcomes.append
+        worlds.post(self.world, host, e.LocalRequest(token, "ended", {"proof": "not-run"}))
         self.assertThat([type(x) for x in outcomes], Equals([router.Attempt]))
         self.assertThat(self.node("c0").quotas.spending.tenants[LIMITED].spent, Equals(1))
 
--- a/tests/test_task_completion.py
+++ b/tests/test_task_completion.py
@@ -171,7 +171,7 @@
 class DepartedCallers(TestCase):
     """Whether a caller has left, whatever it sent before."""
 
-    def test_hung_up(self):
+    def test_closed_by_peer(self):
         for sent in (b"", b"bytes after its request"):
             for how in ("stay", "close", "half"):
                 ours, theirs = socket.socketpair()
@@ -274,7 +274,7 @@
 
         process = self.process(handle)
 
-        def asks(number):
+        def ask_repeatedly(number):
             wrong = []
             for turn in range(300):
                 token = f"{number}.{turn}"
@@ -285,14 +285,14 @@
             return wrong
 
         with ThreadPoolExecutor(12) as pool:
-            self.assertThat(sum(pool.map(asks, range(12)), []), Equals([]))
+            self.assertThat(sum(pool.map(ask_repeatedly, range(12)), []), Equals([]))
         self.assertThat(process._waiting, Equals({}))
 
 
 class Commands(TestCase):
     def test_operators_do_not_choose_the_id_of_a_command(self):
         """Two operators that chose the same id would get each other's answers."""
-        asked = []
+        bodies = []
 
         class Asked:
             config = SimpleNamespace(
@@ -300,11 +300,11 @@
             )
 
             def ask(self, token, verb, body):
-                asked.append(body)
+                bodies.append(body)
                 return Done()
 
         request = Request(
             EnvironBuilder(method="POST", json={"id": "mine", "change": "c"}).get_environ()
         )
         server.Server(Asked())._change(request, "layout")
-        self.assertThat(asked, Equals([{"change": "c", "actor": ""}]))
+        self.assertThat(bodies, Equals([{"change": "c", "actor": ""}]))
