--- a/tests/test_greeting_size.py
+++ b/tests/test_greeting_size.py
@@ -1,9 +1,9 @@
-"""Greetings say who the depots are only to those who don't know it yet."""
+"""Greetings carry the depots' membership only for peers that don't know it yet."""
 
 import random
 
 from membership import greetings
-from test_peer_table import acquainted, circle_of, turns
+from test_peer_table import make_acquainted_tables, make_table, run_turns
 from transport import frames
 from transport.messages import GroupCard, Member
 
@@ -13,44 +13,44 @@
 
 
 def settled(count):
-    found = acquainted(count, 1e6)
-    for one in found.values():
-        one.group = GROUP
-    turns(found, 1e6, 4000)
-    return found
+    tables = make_acquainted_tables(count, 1e6)
+    for table in tables.values():
+        table.group = GROUP
+    run_turns(tables, 1e6, 4000)
+    return tables
 
 
-def test_a_settled_group_is_not_told_again():
-    found = settled(20)
-    sent = turns(found, 1e6 + 4000, 8000)
+def test_a_known_membership_is_not_sent_again():
+    tables = settled(20)
+    sent = run_turns(tables, 1e6 + 4000, 8000)
     assert sent and not any(m.group.members for m in sent)
     assert max(len(frames.pack(m)) for m in sent) < 200
 
 
-def test_a_newer_group_reaches_all_and_is_then_hardly_told_any_more():
-    """One that was heard before the change, and not since, is told once."""
-    found = settled(40)
-    found["10.0.0.3:1"].group = NEWER
-    turns(found, 1e6 + 4000, 8000)
-    assert {one.group for one in found.values()} == {NEWER}
-    sent = turns(found, 1e6 + 12000, 8000)
+def test_a_newer_membership_reaches_all_and_is_then_hardly_sent_any_more():
+    """A peer that sent its last greeting before the change still gets it once."""
+    tables = settled(40)
+    tables["10.0.0.3:1"].group = NEWER
+    run_turns(tables, 1e6 + 4000, 8000)
+    assert {table.group for table in tables.values()} == {NEWER}
+    sent = run_turns(tables, 1e6 + 12000, 8000)
     assert sum(bool(m.group.members) for m in sent) < 0.1 * len(sent)
 
 
-def test_a_new_life_is_told_of_the_group():
-    found = settled(20)
-    found["10.0.0.7:1"] = circle_of(7, "2", ["10.0.0.1:1"])
-    found["10.0.0.7:1"].group = greetings.NO_GROUP
-    turns(found, 1e6 + 4000, 4000)
-    assert found["10.0.0.7:1"].group == GROUP
+def test_a_restarted_node_gets_the_membership():
+    tables = settled(20)
+    tables["10.0.0.7:1"] = make_table(7, "2", ["10.0.0.1:1"])
+    tables["10.0.0.7:1"].group = greetings.NO_GROUP
+    run_turns(tables, 1e6 + 4000, 4000)
+    assert tables["10.0.0.7:1"].group == GROUP
 
 
-def test_what_was_lost_on_the_way_is_told_again():
-    """Whether another knows the group is taken from its own greetings alone."""
-    found = settled(10)
-    found["10.0.0.3:1"].group = NEWER
+def test_a_membership_lost_in_transit_is_sent_again():
+    """Only a peer's own greetings tell whether it knows the membership."""
+    tables = settled(10)
+    tables["10.0.0.3:1"].group = NEWER
     rng = random.Random(1)
-    cut = {address for address in found if rng.random() < 0.4}
-    turns(found, 1e6 + 4000, 4000, cut)
-    turns(found, 1e6 + 8000, 8000)
-    assert {one.group for one in found.values()} == {NEWER}
+    disconnected = {address for address in tables if rng.random() < 0.4}
+    run_turns(tables, 1e6 + 4000, 4000, disconnected)
+    run_turns(tables, 1e6 + 8000, 8000)
+    assert {table.group for table in tables.values()} == {NEWER}
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -1,5 +1,5 @@
-"""What a peer table keeps of its cards is what it would make afresh, whoever has put
-cards in or taken them out; and silence is told as the plain rule has it."""
+"""The cached summary of a peer table equals a newly computed one, whatever code changed its
+cards; and reported silence follows a simple reference implementation."""
 
 import hashlib
 import math
@@ -38,57 +38,57 @@
     return peer_table.PeerTable(own, (), random.Random(1), GOSSIP_MS, LOST_MS, group=GROUP)
 
 
-def plain_digest(peers):
-    known = sorted(
+def expected_digest(peers):
+    cards_known = sorted(
         (c.name, c.incarnation, c.address, c.identity, c.empty)
         for c in (peers.card, *peers.cards.values())
     )
-    return zlib.crc32(repr(known).encode())
+    return zlib.crc32(repr(cards_known).encode())
 
 
-def plain_names(peers):
+def expected_names_digest(peers):
     return zlib.crc32(repr(sorted([*peers.cards, peers.card.name])).encode())
 
 
-def plain_watched(peers):
+def expected_watched(peers):
     def weight(name):
         return hashlib.blake2b(f"{peers.card.name}>{name}".encode(), digest_size=8).digest()
 
     return sorted(peers.cards, key=weight)[:4]
 
 
-def plain_silence(peers, now_ms, name):
+def expected_silence(peers, now_ms, name):
     if name == peers.card.name:
         return 0
     silent_ms = max(0.0, now_ms - peers.alive_ms.get(name, -1e9))
     return min(255, math.ceil(silent_ms * 64 / peers.lost_ms))
 
 
-def plain_heard(peers, now_ms, names, silent):
-    heard = dict(peers.alive_ms)
+def expected_alive_ms(peers, now_ms, names, silent):
+    alive_ms = dict(peers.alive_ms)
     for name, steps in zip(names, silent):
         if name != peers.card.name:
             at_ms = now_ms - steps * LOST_MS / 64 - GOSSIP_MS / 10
             if steps == 255:
                 at_ms = -1e9
-            heard[name] = max(at_ms, heard.get(name, -1e12))
-    return heard
+            alive_ms[name] = max(at_ms, alive_ms.get(name, -1e12))
+    return alive_ms
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(changes, max_size=20))
-def test_what_is_kept_is_what_would_be_made(made):
+def test_a_cached_summary_equals_a_new_one(applied):
     peers = table()
-    for kind, card in made:
+    for kind, card in applied:
         if kind == "put":
             peers.cards[card.name] = card
         elif kind == "drop":
             peers.cards.pop(card.name, None)
         elif kind == "own":
             peers.card = Card(**{**vars(card), "name": OWN})
-        assert peer_table.digest(peers) == plain_digest(peers)
-        assert peer_table.watched(peers) == plain_watched(peers)
-        assert greetings.greeting(peers, True, 5.0).names == plain_names(peers)
+        assert peer_table.digest(peers) == expected_digest(peers)
+        assert peer_table.watched(peers) == expected_watched(peers)
+        assert greetings.greeting(peers, True, 5.0).names == expected_names_digest(peers)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -98,13 +98,13 @@
     st.floats(0.0, 4e4),
     st.booleans(),
 )
-def test_silence_is_told_by_the_plain_rule(known, alive_ms, now_ms, alike):
+def test_sent_silence_follows_the_reference(cards_known, alive_ms, now_ms, same_names):
     peers = table()
-    peers.cards, peers.alive_ms = {card.name: card for card in known}, alive_ms
-    peers.digests["to"] = (1, plain_names(peers) if alike else -1)
-    names = sorted([*peers.cards, OWN]) if alike else list(peers.cards)
-    told = greetings.greeting(peers, True, now_ms, "to").silent
-    assert told == bytes(plain_silence(peers, now_ms, name) for name in names)
+    peers.cards, peers.alive_ms = {card.name: card for card in cards_known}, alive_ms
+    peers.digests["to"] = (1, expected_names_digest(peers) if same_names else -1)
+    names = sorted([*peers.cards, OWN]) if same_names else list(peers.cards)
+    silence = greetings.greeting(peers, True, now_ms, "to").silent
+    assert silence == bytes(expected_silence(peers, now_ms, name) for name in names)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -114,15 +114,15 @@
     st.floats(0.0, 4e4),
     st.data(),
 )
-def test_silence_is_heard_by_the_plain_rule(known, alive_ms, now_ms, data):
+def test_received_silence_follows_the_reference(cards_known, alive_ms, now_ms, data):
     peers = table()
-    peers.cards, peers.alive_ms = {card.name: card for card in known}, alive_ms
+    peers.cards, peers.alive_ms = {card.name: card for card in cards_known}, alive_ms
     names = sorted([*peers.cards, OWN])
     silent = bytes(
         data.draw(st.lists(st.integers(0, 255), min_size=len(names), max_size=len(names)))
     )
-    expected = plain_heard(peers, now_ms, names, silent)
+    expected = expected_alive_ms(peers, now_ms, names, silent)
     nobody = Card("", "counter", "z", "10.0.0.5:1", "", "a")
-    greet = Greet(nobody, False, (), GROUP, silent, 1, plain_names(peers))
+    greet = Greet(nobody, False, (), GROUP, silent, 1, expected_names_digest(peers))
     peer_table.on_greet(peers, now_ms, "10.0.0.5:1", greet)
     assert peers.alive_ms == expected
