--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -1,5 +1,5 @@
-"""A replica far behind is brought up to date, however large the state, however often
-the connection breaks: no message too large, no byte sent more often than it was lost."""
+"""A replica that is far behind catches up, whatever the size of the state and however often the
+connection breaks: no message is too large, and only lost bytes are sent again."""
 
 import random
 
@@ -38,7 +38,7 @@
 
 
 def lead(depot, index, state_bytes):
-    """Make it the leader of term 1, its log beginning after a state of some size."""
+    """Make a depot the leader of term 1, with a log that begins after a state of this size."""
     replica = depot.group
     part = state_machine.shard_of(replica.state, 1)
     part.epoch, part.next, part.checkpoint_at = 1, 2, 1
@@ -51,7 +51,7 @@
 
 
 class Group:
-    """Depots that exchange messages at once; what `passes` refuses is lost."""
+    """Depots that exchange messages without delay; messages that `passes` refuses are lost."""
 
     def __init__(self, *names):
         self.depots = {name: make_depot(name) for name in names}
@@ -107,7 +107,7 @@
         lead(group.depots["a"], 100, state_bytes)
         return group
 
-    def test_a_state_larger_than_a_frame(self):
+    def test_a_state_larger_than_a_message(self):
         group = self.make(LARGE)
         for _ in range(3):
             group.heartbeat("a")
@@ -115,7 +115,7 @@
         self.assertThat(group.replica("a").progress["b"].match, Equals(100))
         self.assertThat(group.largest, LessThan(MOST_MESSAGE_BYTES))
 
-    def test_entries_larger_than_a_frame_together(self):
+    def test_entries_larger_than_a_message_together(self):
         group = self.make(1000)
         group.heartbeat("a")
         group.passes = lambda message: False
@@ -129,15 +129,15 @@
         self.assertThat(group.largest, LessThan(MOST_MESSAGE_BYTES))
 
     def test_entries_lost_are_sent_again_once(self):
-        """One message lost of many under way: each that follows is answered alike."""
+        """If one of many messages in flight is lost, each later one gets the same reply."""
         group = self.make(1000)
         group.heartbeat("a")
         group.heartbeat("a")
-        leader, under_way = group.replica("a"), []
+        leader, in_flight = group.replica("a"), []
         for number in range(2, 32):
             body = batch(1, number, random.Random(number).randbytes(50_000))
-            under_way += log_replication.propose(leader, group.now_ms, body)
-        sends = [e for e in under_way if isinstance(e, Send) and e.to == "b"]
+            in_flight += log_replication.propose(leader, group.now_ms, body)
+        sends = [e for e in in_flight if isinstance(e, Send) and e.to == "b"]
         group.entry_bytes = 0
         events = [found for e in sends[1:] for found in group._follow_up("a", e)]
         self.assertThat(group.entry_bytes, GreaterThan(1_400_000))
@@ -146,15 +146,15 @@
         self.assertThat(replicas.last_index(group.replica("b")), Equals(130))
         self.assertThat(group.entry_bytes, LessThan(4_000_000))
 
-    def test_no_more_entries_under_way_than_a_connection_holds(self):
+    def test_entries_in_flight_fit_into_a_connections_buffer(self):
         group = self.make(1000)
         group.heartbeat("a")
         group.heartbeat("a")
-        leader, under_way = group.replica("a"), []
+        leader, in_flight = group.replica("a"), []
         for number in range(2, 32):
             body = batch(1, number, random.Random(number).randbytes(1 << 20))
-            under_way += log_replication.propose(leader, group.now_ms, body)
-        sends = [e for e in under_way if isinstance(e, Send) and e.to == "b"]
+            in_flight += log_replication.propose(leader, group.now_ms, body)
+        sends = [e for e in in_flight if isinstance(e, Send) and e.to == "b"]
         for effect in sends:
             group._follow_up("a", effect)
         self.assertThat(group.entry_bytes, LessThan(6 << 20))
@@ -165,35 +165,35 @@
         group.heartbeat("a")
         self.assertThat(replicas.last_index(group.replica("b")), Equals(130))
 
-    def test_breaks_cost_what_was_in_flight(self):
+    def test_a_lost_message_costs_at_most_a_window(self):
         group = self.make(4 << 20)
-        rng, breaks = random.Random(3), []
+        rng, losses = random.Random(3), []
 
         def passes(message):
-            breaks.append(rng.random() < 0.05)
-            return not breaks[-1]
+            losses.append(rng.random() < 0.05)
+            return not losses[-1]
 
         group.passes = passes
         for _ in range(200):
             group.heartbeat("a")
         self.assertThat(group.replica("b").commit, Equals(100))
-        self.assertThat(sum(breaks), GreaterThan(5))
-        lost = sum(breaks) * WINDOW_CHUNKS * CHUNK_BYTES
-        self.assertThat(group.chunk_bytes, LessThan((5 << 20) + lost))
+        self.assertThat(sum(losses), GreaterThan(5))
+        lost_bytes = sum(losses) * WINDOW_CHUNKS * CHUNK_BYTES
+        self.assertThat(group.chunk_bytes, LessThan((5 << 20) + lost_bytes))
 
-    def test_a_newer_snapshot_does_not_start_it_over(self):
-        """Changes and snapshots go on at the leader while a slow peer takes in one."""
+    def test_a_newer_snapshot_does_not_restart_a_transfer(self):
+        """The leader goes on taking snapshots while a slow peer receives one."""
         group = self.make(4 << 20)
-        passing = [0]
-        group.passes = lambda message: passing[0] > 0 and not passing.__setitem__(0, passing[0] - 1)
+        budget = [0]
+        group.passes = lambda message: budget[0] > 0 and not budget.__setitem__(0, budget[0] - 1)
         leader = group.replica("a")
         for number in range(2, 60):
-            passing[0] = 6
+            budget[0] = 6
             body = batch(1, number, random.Random(number).randbytes(100_000))
             group.propose("a", body)
             log_commit.advance_commit(leader, leader.synced)
             group.heartbeat("a")
-        passing[0] = 1 << 30
+        budget[0] = 1 << 30
         for _ in range(4):
             group.heartbeat("a")
         self.assertThat(leader.snapshot_index, GreaterThan(100))
@@ -201,11 +201,11 @@
         self.assertThat([i for n, i in group.installed if n == "b"][:1], Equals([100]))
         self.assertThat(group.chunk_bytes, LessThan(6 << 20))
 
-    def test_a_new_leader_with_the_same_snapshot_goes_on(self):
+    def test_a_new_leader_with_the_same_snapshot_resumes_a_transfer(self):
         group = Group("a", "b", "c")
         lead(group.depots["a"], 100, 4 << 20)
-        left = [30]
-        group.passes = lambda message: left[0] > 0 and not left.__setitem__(0, left[0] - 1)
+        budget = [30]
+        group.passes = lambda message: budget[0] > 0 and not budget.__setitem__(0, budget[0] - 1)
         group.heartbeat("a")
         held = len(group.replica("b").incoming.body)
         self.assertThat(held, GreaterThan(6 * CHUNK_BYTES))
@@ -219,7 +219,7 @@
         self.assertThat(group.replica("b").term, Equals(2))
         self.assertThat(group.chunk_bytes, LessThan((4 << 20) - held + 1000))
 
-    def test_nothing_is_kept_for_a_peer_that_is_gone(self):
+    def test_no_snapshot_is_kept_for_a_lost_peer(self):
         group = self.make(4 << 20)
         leader = group.replica("a")
         passes = group.passes
@@ -239,7 +239,7 @@
         self.assertThat(group.replica("b").commit, Equals(100))
 
     def test_the_leaders_memory_is_bounded(self):
-        """Entries of any size are kept for peers a little behind up to some bytes only."""
+        """The entries kept for peers that are a little behind are limited in bytes."""
         group = self.make(1000)
         leader = group.replica("a")
         for number in range(2, 80):
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -1,4 +1,4 @@
-"""Followers, fellows and holders of a shard are given a large state in chunks."""
+"""Feed followers, peers and lease holders receive a large state in chunks."""
 
 import random
 
@@ -26,8 +26,8 @@
 STATE_BYTES = 4 << 20
 
 
-class Feeding:
-    """A log node and a follower of its feed; what `passes` refuses is lost."""
+class FeedScene:
+    """A leader and a follower of its feed; messages that `passes` refuses are lost."""
 
     def __init__(self, state_bytes=STATE_BYTES):
         self.depot = make_depot("a")
@@ -38,7 +38,7 @@
         self.follow = follower.FeedFollower()
         self.card = m.Card("f", "counter", "z", "f", "f", "f.1")
         self.now_ms, self.passes = 0.0, lambda message: True
-        self.largest = self.chunk_bytes = self.item_bytes = self.rebuilt = 0
+        self.largest = self.chunk_bytes = self.entry_bytes = self.rebuilt = 0
 
     def commit(self, number, size):
         replica = self.depot.group
@@ -50,8 +50,8 @@
 
     def ping(self):
         self.now_ms += 240.0
-        ask = follower.make_request(self.follow, self.now_ms, self.card, "a")
-        queue = [ask]
+        request = follower.make_request(self.follow, self.now_ms, self.card, "a")
+        queue = [request]
         while queue:
             effect = queue.pop(0)
             if not isinstance(effect, Send) or not self.passes(effect.message):
@@ -60,111 +60,111 @@
             if effect.to == "a":
                 queue += depots._on_message(self.depot, self.now_ms, "f", effect.message, "g")
             elif effect.to == "f":
-                queue += self._take(effect.message)
+                queue += self._on_message(effect.message)
 
     def push(self):
         for effect in feed.push(self.depot.group, self.depot.nodes, self.now_ms):
             self._count(effect.message)
             if self.passes(effect.message):
-                self._take(effect.message)
+                self._on_message(effect.message)
 
     def _count(self, message):
         self.largest = max(self.largest, len(frames.pack(message)))
         if isinstance(message, m.FeedChunk):
             self.chunk_bytes += len(message.chunk.body)
         if isinstance(message, m.FeedItems):
-            self.item_bytes += sum(len(entry.body) for entry in message.entries)
+            self.entry_bytes += sum(len(entry.body) for entry in message.entries)
 
-    def _take(self, message):
+    def _on_message(self, message):
         if isinstance(message, m.FeedItems):
             follower.on_items(self.follow, message)
         if not isinstance(message, m.FeedChunk):
             return []
-        effects, news = follower.on_chunk(self.follow, self.now_ms, "f", "a", message)
-        self.rebuilt += news.rebuilt
+        effects, update = follower.on_chunk(self.follow, self.now_ms, "f", "a", message)
+        self.rebuilt += update.rebuilt
         return effects
 
 
 class Followers(TestCase):
-    def test_a_large_state_comes_whole(self):
-        feeding = Feeding(40 << 20)
-        feeding.ping()
-        self.assertThat(feeding.follow.position, Equals(100))
-        self.assertThat(feeding.follow.state, Equals(feeding.depot.group.state))
-        self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
+    def test_a_large_state_arrives_complete(self):
+        scene = FeedScene(40 << 20)
+        scene.ping()
+        self.assertThat(scene.follow.position, Equals(100))
+        self.assertThat(scene.follow.state, Equals(scene.depot.group.state))
+        self.assertThat(scene.largest, LessThan(MOST_MESSAGE_BYTES))
 
-    def test_a_slow_link_does_not_start_it_over(self):
-        """Some chunks a ping, while changes and snapshots go on at the log node."""
-        feeding, left = Feeding(), [0]
-        feeding.passes = lambda message: left[0] > 0 and not left.__setitem__(0, left[0] - 1)
+    def test_a_slow_link_does_not_restart_a_transfer(self):
+        """A few chunks arrive per ping, while the leader goes on taking snapshots."""
+        scene, budget = FeedScene(), [0]
+        scene.passes = lambda message: budget[0] > 0 and not budget.__setitem__(0, budget[0] - 1)
         for number in range(2, 60):
-            feeding.commit(number, 100_000)
-            left[0] = 8
-            feeding.ping()
-        self.assertThat(feeding.depot.group.snapshot_index, GreaterThan(100))
-        left[0] = 1 << 30
+            scene.commit(number, 100_000)
+            budget[0] = 8
+            scene.ping()
+        self.assertThat(scene.depot.group.snapshot_index, GreaterThan(100))
+        budget[0] = 1 << 30
         for _ in range(12):
-            feeding.ping()
-        self.assertThat(feeding.follow.position, Equals(158))
-        self.assertThat(feeding.rebuilt, Equals(1))
-        self.assertThat(feeding.chunk_bytes, LessThan(6 << 20))
+            scene.ping()
+        self.assertThat(scene.follow.position, Equals(158))
+        self.assertThat(scene.rebuilt, Equals(1))
+        self.assertThat(scene.chunk_bytes, LessThan(6 << 20))
 
     def test_entries_are_bounded_by_bytes(self):
-        feeding = Feeding(1000)
-        feeding.ping()
-        feeding.depot.group.settings = replicas.GroupSettings(
+        scene = FeedScene(1000)
+        scene.ping()
+        scene.depot.group.settings = replicas.GroupSettings(
             480.0, 120.0, 240.0, 3000.0, keep_bytes=64 << 20
         )
-        feeding.passes = lambda message: False
+        scene.passes = lambda message: False
         for number in range(2, 42):
-            feeding.commit(number, 1 << 20)
-        feeding.passes = lambda message: True
+            scene.commit(number, 1 << 20)
+        scene.passes = lambda message: True
         for _ in range(60):
-            feeding.ping()
-        self.assertThat(feeding.follow.position, Equals(140))
-        self.assertThat(feeding.largest, LessThan(MOST_MESSAGE_BYTES))
+            scene.ping()
+        self.assertThat(scene.follow.position, Equals(140))
+        self.assertThat(scene.largest, LessThan(MOST_MESSAGE_BYTES))
 
-    def test_what_is_on_its_way_is_not_sent_again(self):
-        """Entries that take longer than a ping to arrive on a slow link."""
-        feeding = Feeding(1000)
-        feeding.ping()
-        feeding.passes = lambda message: not isinstance(message, m.FeedItems)
+    def test_entries_in_flight_are_not_sent_again(self):
+        """On a slow link, entries may take longer than a ping interval to arrive."""
+        scene = FeedScene(1000)
+        scene.ping()
+        scene.passes = lambda message: not isinstance(message, m.FeedItems)
         for number in range(2, 22):
-            feeding.commit(number, 100_000)
-            feeding.push()
-        feeding.item_bytes = 0
+            scene.commit(number, 100_000)
+            scene.push()
+        scene.entry_bytes = 0
         for _ in range(4):
-            feeding.ping()
-        self.assertThat(feeding.item_bytes, Equals(0))
-        feeding.passes = lambda message: True
+            scene.ping()
+        self.assertThat(scene.entry_bytes, Equals(0))
+        scene.passes = lambda message: True
         for _ in range(30):
-            feeding.ping()
-        self.assertThat(feeding.follow.position, Equals(120))
+            scene.ping()
+        self.assertThat(scene.follow.position, Equals(120))
 
-    def test_many_that_start_at_once_take_turns(self):
-        feeding = Feeding()
+    def test_concurrent_transfers_are_limited(self):
+        scene = FeedScene()
         cards = [m.Card(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
         sent = 0
         for card in cards:
-            ask = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
-            found = depots._on_message(feeding.depot, 0.0, card.address, ask, "g")
+            request = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
+            found = depots._on_message(scene.depot, 0.0, card.address, request, "g")
             sent += sum(isinstance(e.message, m.FeedChunk) for e in found)
         self.assertThat(sent, LessThan(20))
         self.assertThat(sent, GreaterThan(4))
         self.assertThat(sent * WINDOW_CHUNKS * CHUNK_BYTES, LessThan(8 << 20))
 
 
-class Fellows(TestCase):
-    def test_a_fellow_hands_on_a_large_state(self):
+class Peers(TestCase):
+    def test_a_peer_relays_a_large_state(self):
         ahead, behind = follower.FeedFollower(), follower.FeedFollower()
-        feeding = Feeding()
-        feeding.follow = ahead
-        feeding.ping()
+        scene = FeedScene()
+        scene.follow = ahead
+        scene.ping()
         now_ms, largest = 10_000.0, 0
         ahead.current_ms = now_ms + 1
         card = m.Card("g", "counter", "z", "g", "g", "g.1")
-        ask = follower.make_request(behind, now_ms, card, "f").message
-        follower.on_relay_request(ahead, now_ms, "g", ask)
+        request = follower.make_request(behind, now_ms, card, "f").message
+        follower.on_relay_request(ahead, now_ms, "g", request)
         queue = follower.answer_relays(ahead, now_ms)
         while queue:
             effect = queue.pop(0)
@@ -178,7 +178,7 @@
         self.assertThat(largest, LessThan(MOST_MESSAGE_BYTES))
         self.assertThat(ahead.relay_transfers, Equals({}))
 
-    def test_what_a_fellow_keeps_is_bounded_by_bytes(self):
+    def test_entries_kept_for_relaying_are_bounded_by_bytes(self):
         follow = follower.FeedFollower()
         for index in range(1, 200):
             entry = m.Entry(index, 1, batch(1, index, bytes(200_000)))
@@ -189,8 +189,8 @@
 
 
 class Holders(TestCase):
-    def give(self, replica, writer, log, passes):
-        """Pings of a holder until it has its shard; the bytes that were sent."""
+    def transfer_shard(self, replica, writer, log, passes):
+        """Let a holder send pings until it has its shard; returns the bytes sent to it."""
         sent, card = 0, m.Card("h", "counter", "z", "h", "h", "h.1")
         for turn in range(100):
             queue = [
@@ -222,10 +222,10 @@
         part.next = part.checkpoint_at + len(part.records) + 1
         return depot.group, BatchWriter(serving=True, epochs={1: 1}), part
 
-    def test_a_shard_comes_in_chunks(self):
+    def test_a_shard_is_sent_in_chunks(self):
         replica, writer, part = self.shard()
         log = shard_log.ShardLog(1, 1)
-        sent = self.give(replica, writer, log, lambda: True)
+        sent = self.transfer_shard(replica, writer, log, lambda: True)
         self.assertTrue(log.ready)
         self.assertThat(log.checkpoint, Equals(part.checkpoint))
         self.assertThat(log.records, Equals(part.records))
@@ -233,7 +233,7 @@
         self.assertThat(sent, LessThan(STATE_BYTES + 2_500_000))
         self.assertThat(writer.recoveries, Equals({}))
 
-    def test_losses_cost_what_was_in_flight(self):
+    def test_a_lost_message_costs_at_most_a_window(self):
         replica, writer, part = self.shard()
         log, rng, lost = shard_log.ShardLog(1, 1), random.Random(4), []
 
@@ -241,23 +241,25 @@
             lost.append(rng.random() < 0.04)
             return not lost[-1]
 
-        sent = self.give(replica, writer, log, passes)
+        sent = self.transfer_shard(replica, writer, log, passes)
         self.assertThat(log.records, Equals(part.records))
         self.assertThat(sum(lost), GreaterThan(4))
         window = WINDOW_CHUNKS * CHUNK_BYTES
         self.assertThat(sent, LessThan(STATE_BYTES + 2_500_000 + sum(lost) * window))
 
-    def test_a_new_log_node_goes_on(self):
+    def test_a_new_leader_resumes_a_transfer(self):
         replica, writer, part = self.shard()
-        log, left = shard_log.ShardLog(1, 1), [40]
+        log, budget = shard_log.ShardLog(1, 1), [40]
 
         def passes():
-            left[0] -= 1
-            return left[0] >= 0
+            budget[0] -= 1
+            return budget[0] >= 0
 
-        self.give(replica, writer, log, passes)
+        self.transfer_shard(replica, writer, log, passes)
         held = len(log.incoming.body)
         self.assertThat(held, GreaterThan(8 * CHUNK_BYTES))
-        sent = self.give(replica, BatchWriter(serving=True, epochs={1: 1}), log, lambda: True)
+        sent = self.transfer_shard(
+            replica, BatchWriter(serving=True, epochs={1: 1}), log, lambda: True
+        )
         self.assertThat(log.records, Equals(part.records))
         self.assertThat(sent, LessThan(STATE_BYTES + 2_500_000 - held))
