--- a/tests/test_disk_log.py
+++ b/tests/test_disk_log.py
@@ -1,4 +1,4 @@
-"""The log on disk: crash at every byte of the last batch, torn and damaged."""
+"""The log on disk: a crash at every byte of the last batch, torn tails and damage."""
 
 import os
 import shutil
@@ -36,8 +36,8 @@
         return max(self.folder.glob("log.*"))
 
     def test_every_byte_of_the_last_batch(self):
-        """Whatever part of the last write reached the disk, all before it is
-        there and it is there whole or not at all."""
+        """Whatever part of the last write reached the disk, earlier entries are kept, and
+        each of its entries is either complete or missing."""
         disk = self.open()
         for index in range(1, 4):
             disk.write(Write((entry(index),), known=index - 1))
@@ -59,7 +59,7 @@
             counts.add(kept)
         self.assertThat(counts, Equals({3, 4, 5}))
 
-    def test_torn_tail_is_cut_and_written_over(self):
+    def test_a_torn_tail_is_cut_off_and_overwritten(self):
         disk = self.open()
         for index in range(1, 4):
             disk.write(Write((entry(index),), known=index - 1))
@@ -75,7 +75,7 @@
         self.assertThat(self.open().loaded.entries, Equals([entry(1), entry(2), entry(3, term=2)]))
 
     def test_a_hole_between_two_writes_in_flight(self):
-        """The first of two unacknowledged writes missing cuts both."""
+        """If the first of two unacknowledged writes is missing, both are discarded."""
         disk = self.open()
         disk.write(Write((entry(1),), known=0))
         lost = disk.reserve(Write((entry(2),), known=1))
@@ -95,14 +95,14 @@
         failed = self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1 << 20)
         self.assertIsInstance(failed.failure, failures.DiskUntrusted)
 
-    def test_newer_term_wins_over_segments(self):
+    def test_a_newer_term_wins_across_segments(self):
         disk = self.open(segment_bytes=1)
         for item in (entry(1), entry(2), entry(3), entry(2, term=2)):
             disk.write(Write((item,), known=0))
         self.close(disk)
         self.assertThat(self.open().loaded.entries, Equals([entry(1), entry(2, term=2)]))
 
-    def test_view_drops_what_it_covers(self):
+    def test_a_snapshot_removes_the_segments_it_covers(self):
         disk = self.open(segment_bytes=1)
         for index in range(1, 6):
             disk.write(Write((entry(index),), known=index - 1))
@@ -110,13 +110,13 @@
         disk.write(Install(4, head + b"book"))
         self.assertThat(len(list(self.folder.glob("log.*"))), Equals(1))
         self.close(disk)
-        again = self.open()
-        self.assertThat(again.loaded.entries, Equals([entry(5)]))
-        again.write(Install(9, (9).to_bytes(8, "big") * 2, restart=True))
-        self.close(again)
+        reopened = self.open()
+        self.assertThat(reopened.loaded.entries, Equals([entry(5)]))
+        reopened.write(Install(9, (9).to_bytes(8, "big") * 2, restart=True))
+        self.close(reopened)
         self.assertThat(self.open().loaded.entries, Equals([]))
 
-    def test_files_are_versions_and_checked(self):
+    def test_small_files_are_versioned_and_checked(self):
         disk = self.open()
         disk.write(Save("promise", b"one"))
         disk.write(Save("promise", b"two"))
@@ -134,7 +134,7 @@
             failed.failure, Equals(failures.DiskUntrusted("promise.v00000002", "checksum"))
         )
 
-    def test_folder_in_use_or_not_a_folder(self):
+    def test_a_folder_in_use_or_not_writable_is_refused(self):
         self.open()
         failed = self.assertRaises(disks.DiskError, disks.Disk, self.folder, 1)
         self.assertIsInstance(failed.failure, failures.FolderInUse)
--- a/tests/test_disk_steps.py
+++ b/tests/test_disk_steps.py
@@ -1,6 +1,6 @@
-"""A depot killed at each step of saving a file: written, synced, renamed, folder
-synced, old version removed.  The old or the new is there, whole, and a save that
-returned is never taken back."""
+"""A depot is killed at each step of saving a file: written, synced, renamed, folder synced, old
+version removed.  Afterwards the old or the new version is there and complete, and a save that
+returned is never lost."""
 
 import os
 import shutil
@@ -14,10 +14,10 @@
 
 
 class Killed(BaseException):
-    """The process ends here; nothing that catches errors may go on."""
+    """Ends the process at this point; a BaseException, so that no handler of errors goes on."""
 
 
-class Steps(TestCase):
+class SaveSteps(TestCase):
     def setUp(self):
         super().setUp()
         self.folder = Path(tempfile.mkdtemp())
@@ -28,14 +28,14 @@
         disk._lock.close()
         return disk.loaded.files["promise"]
 
-    def save(self, body, dies_at):
-        """Save with the kill before the given system call; how many there were."""
+    def save(self, body, killed_at):
+        """Save, with a kill before the given system call; returns (calls made, completed)."""
         calls, steps = [], {}
 
         def counted(name, real):
             def call(*args, **more):
                 calls.append(name)
-                if len(calls) - 1 == dies_at:
+                if len(calls) - 1 == killed_at:
                     raise Killed(name)
                 return real(*args, **more)
 
@@ -59,23 +59,23 @@
 
     def test_every_step(self):
         self.save(b"first", None)
-        whole, done = self.save(b"second", None)
+        all_calls, done = self.save(b"second", None)
         self.assertTrue(done)
-        self.assertThat(whole, Equals(["fsync", "fsync", "rename", "fsync", "unlink"]))
+        self.assertThat(all_calls, Equals(["fsync", "fsync", "rename", "fsync", "unlink"]))
         seen = set()
-        for number, dies_at in enumerate(range(len(whole))):
+        for number, killed_at in enumerate(range(len(all_calls))):
             before, body = self.promise(), f"try {number}".encode()
-            _, done = self.save(body, dies_at)
+            _, done = self.save(body, killed_at)
             self.assertFalse(done)
             found = self.promise()
             self.assertIn(found, (before, body))
             seen.add(found == body)
-            if dies_at >= 3:
+            if killed_at >= 3:
                 self.assertThat(found, Equals(body), "renamed is kept")
         self.assertThat(seen, Equals({True, False}))
 
-    def test_what_is_unsynced_is_not_counted_on(self):
-        """A rename that reached the disk before its bytes did is found out."""
+    def test_an_unsynced_version_is_detected(self):
+        """A rename that reached the disk before the file's bytes did is detected."""
         self.save(b"first", None)
         (path,) = self.folder.glob("promise.v*")
         newer = self.folder / "promise.v00000099"
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -61,7 +61,7 @@
         members = {**groups.members(replica), "x": m.Member("x", "x", "x")}
         self.patch(groups, "members", lambda _: members)
         self.patch(log_replication, "members", lambda _: members)
-        before, longest_ms, sent_ms = replica.round, 0.0, {}
+        before, longest_ms, pending = replica.round, 0.0, {}
         for turn in range(400):
             now_ms = 1000.0 + turn
             peer.last_contact_ms = now_ms
@@ -70,13 +70,13 @@
             effects = []
             if turn % every_ms == 0:
                 request = follower.make_request(scene.follow, now_ms, scene.card, "a").message
-                sent_ms[request.sent_ms] = now_ms
+                pending[request.sent_ms] = now_ms
                 effects += depots._on_message(scene.depot, now_ms, "f", request, "g")
             effects += feed.answer_requests(replica, requests, now_ms)
             for effect in effects:
                 if isinstance(getattr(effect, "message", None), m.Mark):
-                    asked_ms = sent_ms.pop(effect.message.sent_ms)
-                    longest_ms = max(longest_ms, now_ms - asked_ms)
+                    requested_ms = pending.pop(effect.message.sent_ms)
+                    longest_ms = max(longest_ms, now_ms - requested_ms)
         return replica.round - before, longest_ms, replica.settings.heartbeat_ms
 
     def test_few_rounds_answer_many_requests(self):
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,5 +1,8 @@
-"""Losses of power after a kill, and elections between logs that differ: two faults
-that the platform's days brought about."""
+"""Losses of power after a kill, elections between logs that differ, and replaced members.
+
+The first two guard against faults that simulated days of the platform found: entries that were
+read after a kill but lost with the power, and a newer log that couldn't win an election
+because its term was older."""
 
 import dataclasses
 import os
@@ -26,7 +29,7 @@
     return tuple(Entry(i, 1, b"e%d" % i) for i in range(first, last + 1))
 
 
-class Power(TestCase):
+class PowerLoss(TestCase):
     def setUp(self):
         super().setUp()
         self.folder = Path(tempfile.mkdtemp())
@@ -45,7 +48,7 @@
         return sorted(self.folder.glob("log.*"))
 
     def lose_power(self):
-        """Of each segment, what its last sync covered is left."""
+        """Truncate each segment to what its last sync covered."""
         for path in self.segments():
             os.truncate(path, self.synced.get(path.stat().st_ino, 0))
 
@@ -57,7 +60,7 @@
     def close(self, disk):
         disk._lock.close()
 
-    def test_what_was_read_after_a_kill_outlives_a_loss_of_power(self):
+    def test_entries_read_after_a_kill_survive_a_loss_of_power(self):
         first = self.open()
         first.write(Write(entries(1, 3)))
         handle, at, data = first.reserve(Write(entries(4, 5)))
@@ -71,7 +74,7 @@
         third = self.open()
         self.assertThat([e.index for e in third.loaded.entries], Equals(list(range(1, 8))))
 
-    def test_a_hole_between_segments_cuts_what_was_never_told(self):
+    def test_a_hole_between_segments_discards_unacknowledged_entries(self):
         disk = self.open()
         disk.write(Write(entries(1, 2), known=2))
         disk._segment_bytes = 0
@@ -83,7 +86,7 @@
         self.lose_power()
         self.assertThat([e.index for e in self.open().loaded.entries], Equals([1, 2]))
 
-    def test_a_hole_between_segments_in_what_was_told_is_not_trusted(self):
+    def test_a_hole_between_segments_in_acknowledged_entries_is_not_trusted(self):
         disk = self.open()
         disk.write(Write(entries(1, 2), known=2))
         disk._segment_bytes = 0
@@ -119,7 +122,7 @@
                 found = []
             queue += [(effect.to, e) for e in found]
 
-    def test_the_fresher_log_wins_although_its_term_is_behind(self):
+    def test_the_newer_log_wins_although_its_term_is_older(self):
         for ahead in range(1, 6):
             nodes = {"a": depot("a", 10, 2 + ahead), "b": depot("b", 12, 2)}
             now_ms = 0.0
@@ -133,17 +136,17 @@
 
 
 class Replacing(TestCase):
-    def test_a_newcomer_of_another_name_takes_the_silent_members_place(self):
+    def test_a_new_depot_of_another_name_replaces_the_silent_member(self):
         for seed in range(3):
             made = run._build(seed, deployments.SMALL, True)
             worlds.spin(made.world, 8000)
             lead = made.leader()
-            gone = made.world.hosts[next(n for n in ("d0", "d1", "d2") if n != lead)]
-            identity = gone.node.depot.group.identity
-            worlds.kill(made.world, gone)
-            made.world.by_address.pop(gone.config.address)
+            lost = made.world.hosts[next(n for n in ("d0", "d1", "d2") if n != lead)]
+            identity = lost.node.depot.group.identity
+            worlds.kill(made.world, lost)
+            made.world.by_address.pop(lost.config.address)
             config = dataclasses.replace(
-                gone.config, name="d9", address="10.9.9.9:1", listen="10.9.9.9:1", founds=False
+                lost.config, name="d9", address="10.9.9.9:1", listen="10.9.9.9:1", founds=False
             )
             fresh = worlds.Host("d9", config, sim_disks.SimDisk())
             made.world.hosts["d9"] = fresh
--- a/tests/test_power_loss_steps.py
+++ b/tests/test_power_loss_steps.py
@@ -1,7 +1,8 @@
-"""A loss of power at any step of writing the data folder, where each file that was made,
-renamed or removed without a sync of its folder is kept or lost by itself, and each write
-that wasn't synced is too.  What is read afterwards is the state before or after the step
-that was under way: never an older one, and never a mixture."""
+"""A loss of power at any step of writing the data folder.
+
+Each file that was created, renamed or removed without a sync of its folder, and each write that
+wasn't synced, may be kept or lost independently.  The state read afterwards must be the one
+before or after the interrupted step: never an older one, and never a mixture."""
 
 import itertools
 import os
@@ -23,7 +24,7 @@
 
 
 class Killed(BaseException):
-    """The process ends here; nothing that catches errors may go on."""
+    """Ends the process at this point; a BaseException, so that no handler of errors goes on."""
 
 
 def entry(index, term):
@@ -40,7 +41,7 @@
 
 
 class Model:
-    """What the folder holds after whole effects: (promise, snapshot, entries)."""
+    """The expected content of the folder after complete effects: (promise, snapshot, entries)."""
 
     def __init__(self):
         self.promise, self.snapshot, self.entries = None, None, ()
@@ -65,12 +66,13 @@
 
 
 class Folder:
-    """A folder whose unsynced names and writes are known; `dies_at` counts the calls."""
+    """A folder that records unsynced names and writes; the process is killed after `killed_at`
+    system calls."""
 
-    def __init__(self, test, dies_at):
+    def __init__(self, test, killed_at):
         self.path = Path(tempfile.mkdtemp())
         test.addCleanup(shutil.rmtree, self.path, True)
-        self.calls, self.dies_at = 0, dies_at
+        self.calls, self.killed_at = 0, killed_at
         self.names, self.writes = [], {}
         self.real = {n: getattr(os, n) for n in ("fsync", "fdatasync", "rename", "pwrite", "open")}
         self.real_unlink = Path.unlink
@@ -97,7 +99,7 @@
 
     def _step(self):
         self.calls += 1
-        if self.dies_at is not None and self.calls > self.dies_at:
+        if self.killed_at is not None and self.calls > self.killed_at:
             raise Killed()
 
     def _open(self, path, flags, *mode, **more):
@@ -129,7 +131,7 @@
         self.writes.pop(os.fstat(handle).st_ino, None)
 
     def after_losses(self):
-        """A copy of the folder for each way in which power may be lost now."""
+        """Yield a copy of the folder for each possible result of a loss of power now."""
         writes = [(n, w) for n, found in self.writes.items() for w in found]
         for lost in itertools.product((False, True), repeat=len(self.names) + len(writes)):
             copy = Path(tempfile.mkdtemp())
@@ -170,10 +172,10 @@
         files = disk.loaded.files
         return (files["promise"], files["view"], tuple(disk.loaded.entries))
 
-    def run_until(self, effects, dies_at):
-        """(the folder, how many effects were done)."""
+    def run_until(self, effects, killed_at):
+        """Carry out effects until the kill; returns (folder, number of completed effects)."""
         done, disk = 0, None
-        folder = Folder(self, dies_at)
+        folder = Folder(self, killed_at)
         with folder:
             disk = self.open(folder.path)
             for effect in effects:
@@ -188,23 +190,23 @@
         return folder, done
 
     def check(self, effects):
-        """Power is lost before each call of the system, in every way."""
+        """Lose power before each system call, with every possible result."""
         states = [Model().state()]
         model = Model()
         for effect in effects:
             states.append(model.do(effect).state())
-        whole, _ = self.run_until(effects, None)
+        complete, _ = self.run_until(effects, None)
         seen = 0
-        for dies_at in range(whole.calls + 1):
-            folder, done = self.run_until(effects, dies_at)
+        for killed_at in range(complete.calls + 1):
+            folder, done = self.run_until(effects, killed_at)
             for copy in folder.after_losses():
                 seen += 1
                 found = self.read(copy)
-                self.assertIn(found, states[done : done + 2], f"call {dies_at}")
+                self.assertIn(found, states[done : done + 2], f"call {killed_at}")
                 self.assertThat(self.read(copy), Equals(found), "read again")
-        self.assertThat(seen, GreaterThan(whole.calls))
+        self.assertThat(seen, GreaterThan(complete.calls))
 
-    def test_promises(self):
+    def test_versions_of_a_small_file(self):
         self.check([Save("promise", b"%d" % n) for n in range(4)])
 
     def test_entries_and_snapshots(self):
@@ -212,21 +214,21 @@
         effects += [install(4, 1), write(8, 1, 7), install(7, 1), write(9, 2, 8)]
         self.check(effects)
 
-    def test_a_snapshot_in_place_of_a_log_that_differs(self):
+    def test_a_snapshot_that_replaces_a_conflicting_log(self):
         effects = [write(i, 1, 2) for i in range(1, 8)]
         effects += [install(5, 2, restart=True), write(6, 3, 5), write(7, 3, 6)]
         self.check(effects)
 
-    def test_a_snapshot_over_entries_that_were_written_anew(self):
-        """Segments whose entries were void go before, or with, those that voided them."""
+    def test_a_snapshot_over_replaced_entries(self):
+        """Segments with replaced entries are removed before those that replaced them."""
         effects = [write(i, 1, 2) for i in range(1, 9)]
         effects += [write(i, 2, i - 1) for i in range(4, 7)]
         effects += [REOPEN, install(6, 2), write(7, 3, 6), REOPEN, install(7, 3)]
         self.check(effects)
 
-    def test_after_a_hole_what_is_written_next_is_read(self):
-        """Two writes in flight in two segments, the first lost: both are void, and what
-        is written after the start that finds it is there at the next one."""
+    def test_entries_written_after_a_hole_are_read(self):
+        """If the first of two writes in flight, in two segments, is lost, both are void; entries
+        written after the next start are read at the start after it."""
         folder = Folder(self, None).path
         disk = self.open(folder, segment_bytes=0)
         disk.write(Write((entry(1, 1), entry(2, 1)), known=0))
@@ -244,7 +246,7 @@
         )
 
     def test_a_hole_at_the_start_of_a_segment(self):
-        """The first write of a segment lost, the next one kept: neither was told of."""
+        """The first write of a segment is lost, the next one kept: neither was acknowledged."""
         folder = Folder(self, None).path
         disk = self.open(folder)
         for index in (1, 2, 3, 4):
@@ -254,9 +256,9 @@
         disk._lock.close()
         self.assertThat([e.index for e in self.read(folder)[2]], Equals([1, 2, 3, 4]))
 
-    def test_void_entries_never_precede_new_ones(self):
-        """A write that voids entries is lost, the next one kept in a segment of its own:
-        that mustn't be read after what the lost one had voided."""
+    def test_replaced_entries_never_precede_new_ones(self):
+        """A write that replaces entries is lost, and the next one, in its own segment, is kept: it
+        mustn't be read as the successor of the entries that the lost write replaced."""
         folder = Folder(self, None).path
         disk = self.open(folder, segment_bytes=0)
         for index in range(1, 6):
@@ -267,15 +269,15 @@
         terms = [(e.index, e.term) for e in self.read(folder)[2]]
         self.assertThat(terms, Equals([(i, 1) for i in range(1, 6)]))
 
-    def test_no_removed_segment_takes_space(self):
-        """Handles of what was removed are closed, also if a write was under way."""
+    def test_removed_segments_take_no_space(self):
+        """The handles of removed segments are closed, even if a write was in flight."""
         folder = Folder(self, None).path
         disk = self.open(folder, segment_bytes=0)
         for index in range(1, 40):
-            claim = disk.reserve(write(index, 1, index - 1))
+            reservation = disk.reserve(write(index, 1, index - 1))
             if index % 3 == 0:
                 disk.write(install(index, 1, restart=True))
-            disk.write_reserved(claim)
+            disk.write_reserved(reservation)
             if index % 2 == 0:
                 disk.write(install(index - 1, 1))
         links = [path for path in Path("/proc/self/fd").iterdir() if path.is_symlink()]
