--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""The replication group by itself: founding, replacing, terms, grants."""
+"""The replication group in the simulator: bootstrap, replaced members, terms and leases."""
 
 from replication import election, state_machine
 from replication import group as groups
@@ -15,8 +15,8 @@
 
 
 class Bootstrap(TestCase):
-    def test_founds_whatever_is_lost_at_first(self):
-        """Half of all messages lost while the depots come up, at any order."""
+    def test_a_group_is_founded_despite_lost_messages(self):
+        """Half of all messages are lost while the depots start."""
         for seed in range(12):
             made = build(seed)
             made.world.network.loss = 0.5
@@ -39,7 +39,7 @@
             [made.world.hosts[n].node.depot.group.group for n in ("d0", "d1")], Equals(["", ""])
         )
 
-    def test_all_disks_lost_is_refused_while_anyone_remembers(self):
+    def test_empty_depots_found_nothing_while_a_node_knows_the_old_group(self):
         made = build(2)
         worlds.spin(made.world, 8000)
         for name in ("d0", "d1", "d2"):
--- a/tests/test_persistent_state.py
+++ b/tests/test_persistent_state.py
@@ -1,5 +1,7 @@
-"""Depots that lose messages and power in any order: what a depot tells, its saved promise
-already holds; nobody votes twice in a term; whoever leads has all that was committed."""
+"""Random walks of depots that lose messages and power.
+
+Every vote and term that a depot sends is saved before, no depot votes twice in a term, and each
+leader has all committed entries."""
 
 import random
 
@@ -20,12 +22,12 @@
 
 
 class Folder:
-    """What a depot's disk holds; writes that aren't synced may be lost."""
+    """The content of a depot's disk; writes that aren't synced may be lost."""
 
     def __init__(self):
         self.files, self.entries, self.writes = {}, [], []
 
-    def promise(self):
+    def saved_state(self):
         return from_bytes(replicas.PersistentState, self.files["promise"])
 
     def install(self, effect):
@@ -35,7 +37,7 @@
         self.writes = [] if effect.restart else self.writes
 
     def read(self):
-        """The entries after the snapshot, as the disk gives them."""
+        """Return the entries after the snapshot."""
         view = self.files.get("view")
         after = replicas.read_snapshot_file(view)[0] if view else 0
         return [entry for entry in self.entries if entry.index > after]
@@ -46,12 +48,12 @@
 
 
 class Walk:
-    """A random walk over events; checks are made at every effect."""
+    """A random walk over events that checks the invariants at every effect."""
 
     def __init__(self, test, seed):
         self.test, self.rng, self.now_ms = test, random.Random(seed), 0.0
         self.folders = {name: Folder() for name in NAMES}
-        self.air, self.votes, self.committed, self.leads = [], {}, {}, 0
+        self.in_transit, self.votes, self.committed, self.leader_checks = [], {}, {}, 0
         self.records, self.depots = 0, {}
         self.steps, self.cut_off, self.chunks = 0, None, 0
         for name in NAMES:
@@ -67,8 +69,8 @@
             self.cut_off = self.rng.choice(NAMES) if self.cut_off is None else None
         name = self.rng.choice(NAMES)
         choice = self.rng.random()
-        if choice < 0.7 and self.air:
-            to, event = self.air.pop(self.rng.randrange(min(4, len(self.air))))
+        if choice < 0.7 and self.in_transit:
+            to, event = self.in_transit.pop(self.rng.randrange(min(4, len(self.in_transit))))
             if self.rng.random() < 0.95 and self.cut_off not in (to, event.sender):
                 self.do(to, event)
         elif choice < 0.85:
@@ -81,17 +83,17 @@
             self.lose_power(name)
 
     def do(self, name, event):
-        self.follow(name, depots.handle(self.depots[name], self.now_ms, event, {}, "g"))
+        self.carry_out(name, depots.handle(self.depots[name], self.now_ms, event, {}, "g"))
 
     def propose(self, name):
         replica = self.depots[name].group
         if replica.role == "leader":
             self.records += 1
             body = batch(1, self.records, b"%d" % self.records * 200)
-            self.follow(name, log_replication.propose(replica, self.now_ms, body))
+            self.carry_out(name, log_replication.propose(replica, self.now_ms, body))
 
-    def follow(self, name, effects):
-        """Carry out effects in their order, as a process does."""
+    def carry_out(self, name, effects):
+        """Carry out effects in order, as a process does."""
         folder = self.folders[name]
         for effect in effects:
             if isinstance(effect, Save):
@@ -101,8 +103,8 @@
             elif isinstance(effect, Write):
                 folder.writes.append(effect)
             elif isinstance(effect, Send) and effect.to in self.depots:
-                self.check_told(name, effect.to, effect.message)
-                self.air.append((effect.to, Received(name, effect.message)))
+                self.check_sent(name, effect.to, effect.message)
+                self.in_transit.append((effect.to, Received(name, effect.message)))
         self.check_log(name)
 
     def sync(self, name):
@@ -114,7 +116,7 @@
             self.do(name, Written(last.index, last.term, 1.0))
 
     def lose_power(self, name):
-        """What is synced stays; some of the writes under way made it too."""
+        """Keep what is synced, and possibly some of the writes in flight."""
         folder = self.folders[name]
         for effect in folder.writes[: self.rng.randrange(len(folder.writes) + 1)]:
             folder.sync(effect)
@@ -124,26 +126,28 @@
         replicas.open_replica(depot.group, folder.files, folder.read())
         self.depots[name] = depot
 
-    def check_told(self, name, to, message):
-        promise = self.folders[name].promise()
+    def check_sent(self, name, to, message):
+        saved_state = self.folders[name].saved_state()
         self.chunks += isinstance(message, m.ReplicaChunk)
         if isinstance(message, m.VoteReply) and message.granted and not message.pre_vote:
-            self.test.assertThat(promise.term, Equals(message.term))
-            self.test.assertThat(promise.voted_for, Equals(to))
+            self.test.assertThat(saved_state.term, Equals(message.term))
+            self.test.assertThat(saved_state.voted_for, Equals(to))
             self.vote(message.term, name, to)
         if isinstance(message, m.VoteRequest) and not message.pre_vote:
-            self.test.assertThat(promise.term, Equals(message.term))
+            self.test.assertThat(saved_state.term, Equals(message.term))
             self.vote(message.term, name, name)
-            self.test.assertThat(promise.voted_for, Equals(name))
+            self.test.assertThat(saved_state.voted_for, Equals(name))
         if isinstance(message, (m.AppendReply, m.AppendEntries, m.ReplicaChunk)):
-            self.test.assertThat(promise.term >= message.term, Equals(True), "told unsaved")
+            self.test.assertThat(
+                saved_state.term >= message.term, Equals(True), "sent before it was saved"
+            )
 
     def vote(self, term, name, candidate):
         known = self.votes.setdefault((term, name), candidate)
         self.test.assertThat(known, Equals(candidate), f"{name} votes twice in {term}")
 
     def check_log(self, name):
-        """Committed entries are the same everywhere, and every leader has them."""
+        """Check that committed entries are the same everywhere and that the leader has them."""
         replica = self.depots[name].group
         for index in range(replica.base_index + 1, replica.commit + 1):
             term = replicas.term_at(replica, index)
@@ -152,7 +156,7 @@
         if replica.role == "leader" and replica.term == max(
             d.group.term for d in self.depots.values()
         ):
-            self.leads += 1
+            self.leader_checks += 1
             newest = max(self.committed, default=0)
             self.test.assertThat(replicas.last_index(replica) >= newest, Equals(True))
             for index, term in self.committed.items():
@@ -160,9 +164,9 @@
                     self.test.assertThat(replicas.term_at(replica, index), Equals(term))
 
 
-class Promises(TestCase):
-    def test_whatever_is_lost(self):
-        """Snapshots are taken after few bytes, so that some members are sent one."""
+class PersistentStates(TestCase):
+    def test_invariants_hold_whatever_is_lost(self):
+        """Snapshots are taken after few bytes, so that some members receive one."""
         times = replicas.GroupSettings(**{**vars(TIMES), "keep_bytes": 2000})
         self.patch(log_compaction, "_KEPT_ENTRIES", 2)
         chunks = 0
@@ -173,6 +177,6 @@
                     depot.group.settings = times
                 walk.step()
             chunks += walk.chunks
-            self.assertThat(walk.leads, GreaterThan(0), f"seed {seed}")
+            self.assertThat(walk.leader_checks, GreaterThan(0), f"seed {seed}")
             self.assertThat(len(walk.committed), GreaterThan(5), f"seed {seed}")
         self.assertThat(chunks, GreaterThan(10))
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -1,5 +1,5 @@
-"""Snapshots in chunks: whatever is lost, doubled or broken off, the whole arrives, what
-arrived once is not sent again, and nothing is taken that is not whole."""
+"""Snapshot transfers: whatever chunks are lost, duplicated or reordered, the complete snapshot
+arrives, received bytes aren't sent again, and an incomplete or damaged one isn't accepted."""
 
 import random
 
@@ -15,73 +15,73 @@
 
 
 class Link:
-    """A sender and a receiver, with a count of the bytes between them."""
+    """A sender and a receiver, with a count of the bytes sent."""
 
     def __init__(self, snapshot=SNAPSHOT):
         self.outgoing = transfers.Outgoing(snapshot)
         self.incoming = transfers.Incoming()
         self.bytes_sent = 0
-        self.whole = None
+        self.body = None
         self.done = False
 
-    def take(self, chunk):
-        """The receiver takes a chunk, and the sender its answer."""
+    def deliver(self, chunk):
+        """Deliver a chunk to the receiver, and the acknowledgement to the sender."""
         self.bytes_sent += len(chunk.body)
-        ack, whole = transfers.on_chunk(self.incoming, chunk, 0.0)
-        self.whole = whole or self.whole
+        ack, body = transfers.on_chunk(self.incoming, chunk, 0.0)
+        self.body = body or self.body
         self.done = transfers.on_ack(self.outgoing, ack) or self.done
 
     def heartbeat(self, passes=lambda: True):
-        """A probe, and what it makes due, until nothing more moves."""
+        """Send a probe and the chunks that become due, until none are left."""
         queue = [transfers.probe(self.outgoing)]
         while queue:
             chunk = queue.pop(0)
             if passes():
-                self.take(chunk)
+                self.deliver(chunk)
             queue += transfers.chunks_due(self.outgoing)
 
 
 class Chunks(TestCase):
-    def test_the_whole_arrives_once(self):
+    def test_each_byte_is_sent_once(self):
         link = Link()
         link.heartbeat()
-        self.assertThat(link.whole, Equals(BODY))
+        self.assertThat(link.body, Equals(BODY))
         self.assertThat(link.bytes_sent, Equals(len(BODY)))
         self.assertTrue(link.done)
 
-    def test_no_more_in_flight_than_the_window(self):
+    def test_chunks_in_flight_are_limited_to_the_window(self):
         link = Link()
-        link.take(transfers.probe(link.outgoing))
+        link.deliver(transfers.probe(link.outgoing))
         due = transfers.chunks_due(link.outgoing)
         self.assertThat([len(c.body) for c in due], Equals([CHUNK_BYTES] * WINDOW_CHUNKS))
         self.assertThat(transfers.chunks_due(link.outgoing), Equals([]))
 
-    def test_a_new_sender_of_the_same_snapshot_goes_on(self):
+    def test_a_new_sender_of_the_same_snapshot_resumes(self):
         link = Link()
-        left = [6]
+        budget = [6]
 
         def passes():
-            left[0] -= 1
-            return left[0] >= 0
+            budget[0] -= 1
+            return budget[0] >= 0
 
         link.heartbeat(passes)
         held = len(link.incoming.body)
         self.assertThat(held, Equals(5 * CHUNK_BYTES))
         link.outgoing = transfers.Outgoing(SNAPSHOT)
         link.heartbeat()
-        self.assertThat(link.whole, Equals(BODY))
+        self.assertThat(link.body, Equals(BODY))
         self.assertThat(link.bytes_sent, Equals(len(BODY)))
 
-    def test_another_snapshot_starts_over(self):
+    def test_a_different_snapshot_starts_from_the_beginning(self):
         link = Link()
         seen = []
         link.heartbeat(lambda: seen.append(1) or len(seen) < 5)
         other = transfers.make_snapshot(41, 3, BODY[::-1])
         link.outgoing = transfers.Outgoing(other)
         link.heartbeat()
-        self.assertThat(link.whole, Equals(BODY[::-1]))
+        self.assertThat(link.body, Equals(BODY[::-1]))
 
-    def test_two_senders_do_not_throw_each_others_bytes_away(self):
+    def test_two_senders_do_not_discard_each_others_bytes(self):
         incoming = transfers.Incoming()
         ours = transfers.Outgoing(SNAPSHOT)
         other = transfers.Outgoing(transfers.make_snapshot(41, 3, BODY[::-1]))
@@ -95,20 +95,20 @@
         ack, _ = transfers.on_chunk(incoming, transfers.probe(other), 2000.0, 1000.0)
         self.assertThat(ack.held, Equals(0))
 
-    def test_what_does_not_match_its_checksum_is_not_taken(self):
+    def test_a_snapshot_with_a_wrong_checksum_is_discarded(self):
         link = Link()
         bad = transfers.Outgoing(transfers.Snapshot(SNAPSHOT.id, BODY[:-1] + b"x"))
         link.outgoing = bad
-        link.take(transfers.probe(bad))
+        link.deliver(transfers.probe(bad))
         for _ in range(3):
             for chunk in transfers.chunks_due(bad):
-                link.take(chunk)
-        self.assertThat(link.whole, Equals(None))
+                link.deliver(chunk)
+        self.assertThat(link.body, Equals(None))
         link.outgoing = transfers.Outgoing(SNAPSHOT)
         link.heartbeat()
-        self.assertThat(link.whole, Equals(BODY))
+        self.assertThat(link.body, Equals(BODY))
 
-    def test_more_than_memory_bears_is_refused(self):
+    def test_a_snapshot_over_the_size_limit_is_refused(self):
         huge = transfers.SnapshotId(1, 1, transfers.LIMIT_BYTES + 1, 0)
         chunk = transfers.Chunk(huge, 1, 0, b"x")
         answer = transfers.on_chunk(transfers.Incoming(), chunk, 0.0)
@@ -116,19 +116,19 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(st.randoms(use_true_random=False), st.floats(0.0, 0.6))
-    def test_any_loss_doubling_and_order(self, rng, loss):
-        """Chunks and answers lost, doubled and out of order: it arrives whole, and a
-        heartbeat with no loss ends it."""
+    def test_any_loss_duplication_and_order(self, rng, loss):
+        """Chunks and acknowledgements are lost, duplicated and reordered; a heartbeat without
+        losses then completes the transfer."""
         link = Link()
-        air = []
+        in_transit = []
         for _ in range(40):
-            air.append(transfers.probe(link.outgoing))
-            air += transfers.chunks_due(link.outgoing)
-            rng.shuffle(air)
-            for item in air[: rng.randrange(len(air) + 1)]:
+            in_transit.append(transfers.probe(link.outgoing))
+            in_transit += transfers.chunks_due(link.outgoing)
+            rng.shuffle(in_transit)
+            for item in in_transit[: rng.randrange(len(in_transit) + 1)]:
                 if rng.random() >= loss:
-                    link.take(item)
-            air = air[: rng.randrange(4)]
+                    link.deliver(item)
+            in_transit = in_transit[: rng.randrange(4)]
         link.heartbeat()
-        assert link.whole == BODY
+        assert link.body == BODY
         assert link.done
