--- a/tests/test_lease_lost.py
+++ b/tests/test_lease_lost.py
@@ -1,8 +1,8 @@
-"""A lease that its leader staged and never got into the log takes nothing from the holder.
+"""A lease that was staged but never committed doesn't end the lease of the current holder.
 
-The leader refuses the old holder's records from the moment it stages the next lease.  If it
-loses its majority before that lease is durable, the next leader knows only the old one,
-and its holder must serve on: nobody else will be given the shard while it is heard of."""
+A leader refuses the old holder's records as soon as it stages the next lease.  If it loses its
+majority before that lease is durable, the next leader knows only the old lease.  Its holder
+must go on serving, since no other node gets the shard while the holder is in contact."""
 
 from pulleyhitch import config as configs
 from simulation import deployments
@@ -19,7 +19,7 @@
 
 
 class Scene:
-    """A run in which `broken` strikes once a leader has staged shard 0's next lease."""
+    """A simulated cluster with a leader and a holder of shard 0."""
 
     def __init__(self, seed):
         self.run = run._build(seed, deployments.SMALL, True)
@@ -34,10 +34,10 @@
         worlds.spin(self.run.world, self.run.world.now_ms + for_ms)
 
     def silence_holder(self):
-        """Cut the holder off until the leader has staged a lease for another node, and
-        in that moment the leader from the other depots, the holder being back."""
+        """Disconnect the holder until the leader has staged a lease for another node; then
+        reconnect it, and disconnect the leader from the other depots."""
         world = self.run.world
-        self.cut_holder()
+        self.disconnect_holder()
         self.change_here(self.holder)
         depot = self.host(self.leader).node.depot
         epoch = depot.group.state.shards[0].epoch
@@ -48,14 +48,14 @@
         worlds.heal(world)
         harm.lone_leader(self.run, self.leader, 2500.0)
 
-    def cut_holder(self):
+    def disconnect_holder(self):
         others = [name for name in self.run.world.hosts if name != self.holder]
         for other in others:
             worlds.cut(self.run.world, self.holder, other)
             worlds.cut(self.run.world, other, self.holder)
 
     def layout(self):
-        """A change of the layout that no other is like."""
+        """Return a unique change of the layout."""
         section = {
             "routes": {f"x{self.run.world.now_ms:.0f}": {"service": self.run.deployment.service}}
         }
@@ -67,29 +67,29 @@
         }
 
     def change_here(self, name):
-        """A change that reaches one node, whatever becomes of it."""
+        """Send a change to one node, without waiting for its result."""
         body = {**self.layout(), "change": "asked-here"}
         worlds.post(self.run.world, self.host(name), e.Asked("here", "layout", body))
 
     def change(self):
-        """Ask for a change; returns a list that gets the time of its acknowledgement."""
-        asked_ms, told = self.run.world.now_ms, []
+        """Request a change; returns a list that gets the time until its acknowledgement."""
+        requested_ms, acknowledged_ms = self.run.world.now_ms, []
         self.run.change(
             "layout",
             self.layout(),
-            lambda answer: told.append(self.run.world.now_ms - asked_ms),
+            lambda answer: acknowledged_ms.append(self.run.world.now_ms - requested_ms),
         )
-        return told
+        return acknowledged_ms
 
     def lost(self):
-        """Nodes that hold shard 0 by the log and take no command for it."""
+        """Return whether the holder of shard 0, by the log, accepts no commands for it."""
         holder = self.run.holder(0)
         owner = self.host(holder).node.owners.owners.get(0)
         return owner is None or owner.held.lost
 
 
 class LeaseNeverCommitted(TestCase):
-    def test_the_holder_serves_on(self):
+    def test_the_holder_goes_on_serving(self):
         unserved, refused = [], 0
         for seed in SEEDS:
             scene = Scene(seed)
@@ -98,18 +98,18 @@
             owner = scene.host(scene.holder).node.owners.owners.get(0)
             refused += owner is not None and owner.held.lost
             scene.spin(SETTLED_MS)
-            told = scene.change()
+            acknowledged_ms = scene.change()
             scene.spin(ACKNOWLEDGE_MS)
-            if not told or scene.lost():
+            if not acknowledged_ms or scene.lost():
                 unserved.append(seed)
         self.assertThat(unserved, Equals([]))
         self.assertThat(refused > 0, Equals(True), "no run brought the refusal about")
 
 
-class ReleaseNeverHeard(TestCase):
-    def test_a_stopping_holder_is_followed_all_the_same(self):
-        """A holder that stops takes no more commands; if its release is lost on the way,
-        what it says of itself while it goes on stopping is enough."""
+class ReleaseNeverReceived(TestCase):
+    def test_a_stopping_holder_is_replaced_all_the_same(self):
+        """A holder that stops takes no more commands.  If its release message is lost, the
+        role in its later messages is enough for the leader to replace it."""
         late = []
         for seed in SEEDS:
             scene = Scene(seed)
@@ -117,8 +117,8 @@
             worlds.post(scene.run.world, scene.host(scene.holder), e.Closing())
             scene.spin(30.0)
             worlds.heal(scene.run.world)
-            told = scene.change()
+            acknowledged_ms = scene.change()
             scene.spin(ACKNOWLEDGE_MS)
-            if not told:
+            if not acknowledged_ms:
                 late.append(seed)
         self.assertThat(late, Equals([]))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,5 +1,5 @@
-"""Members that leave, are lost and are replaced, in the simulator: how long it takes
-until the group bears a loss again, and that it bears one from then on."""
+"""Members that leave, are lost and are replaced, in the simulator: how long it takes until the
+group tolerates the loss of a member again, and that it then does."""
 
 import dataclasses
 
@@ -37,7 +37,7 @@
 
 
 def committed_members(made):
-    """The membership that the leader has committed; nothing while it changes."""
+    """Return the membership that the leader has committed, or nothing while it changes."""
     if made.leader() is None:
         return {}
     replica = replica_of(made, made.leader())
@@ -45,7 +45,7 @@
 
 
 def spin_until(made, holds, limit_ms=20000.0):
-    """The time when `holds()` is first seen true, or None."""
+    """Return the time when `holds()` first becomes true, or None."""
     end_ms = made.world.now_ms + limit_ms
     while made.world.now_ms < end_ms:
         if holds():
@@ -62,11 +62,11 @@
     return spin_until(made, holds)
 
 
-def serves_again(made, but):
-    """Whether somebody else leads and serves, and keeps a majority for some elections."""
+def serves_again(made, old_leader):
+    """Return whether a different depot leads and commits, after several election timeouts."""
     worlds.spin(made.world, made.world.now_ms + 4000.0)
     lead = made.leader()
-    if lead in (None, but):
+    if lead in (None, old_leader):
         return False
     replica = replica_of(made, lead)
     return replica.commit == groups.last_index(replica)
@@ -74,8 +74,8 @@
 
 @pytest.mark.parametrize("depots", [3, 5])
 @pytest.mark.parametrize("role", ["leader", "follower"])
-def test_a_planned_replacement_is_complete_before_it_stops_counting(depots, role):
-    """The new machine first, SIGTERM to the old one 2 s later."""
+def test_a_planned_replacement_completes_within_the_catch_up_time(depots, role):
+    """The new machine starts first; the old one gets SIGTERM 2 s later."""
     for seed in (2, 3):
         made = build(seed, depots)
         old = made.leader() if role == "leader" else follower_of(made)
@@ -87,12 +87,12 @@
         done_ms = full_without(made, identity, depots)
         assert done_ms - start_ms < CATCH_UP_MS[depots], f"seed {seed}"
         ended = spin_until(made, lambda o=old: made.world.hosts[o].node is None, 200.0)
-        assert ended is not None, "the leaver is told"
+        assert ended is not None, "the leaving member is told that it may stop"
 
 
 @pytest.mark.parametrize("second", ["leader", "follower", "newcomer"])
 def test_a_second_loss_right_after_a_planned_replacement(second):
-    """A catching-up time after the newcomer's start, the old machine no longer counts."""
+    """Once the catch-up time since the new machine's start is over, the old one isn't needed."""
     for seed in (2, 4):
         made = build(seed)
         old, start_ms = follower_of(made), made.world.now_ms
@@ -114,8 +114,8 @@
 @pytest.mark.parametrize("depots", [3, 5])
 @pytest.mark.parametrize("role", ["leader", "follower"])
 @pytest.mark.parametrize("new", ["wiped", "another"])
-def test_a_loss_is_made_good_within_the_catching_up_time(depots, role, new):
-    """From the newcomer's start on: the lost machine emptied, or another one for it."""
+def test_a_lost_member_is_replaced_within_the_catch_up_time(depots, role, new):
+    """By the same machine with an empty disk, or by another machine."""
     for seed in (2, 3):
         made = build(seed, depots)
         old = made.leader() if role == "leader" else follower_of(made)
@@ -132,15 +132,15 @@
         assert done_ms - start_ms < CATCH_UP_MS[depots], f"seed {seed}"
 
 
-def test_two_losses_at_once_are_made_good_by_five():
+def test_two_of_five_members_lost_at_once_are_replaced():
     made = build(2, 5)
-    gone = [made.leader(), follower_of(made)]
-    identities = {replica_of(made, name).identity for name in gone}
-    for name in gone:
+    lost_names = [made.leader(), follower_of(made)]
+    identities = {replica_of(made, name).identity for name in lost_names}
+    for name in lost_names:
         harm.lose(made, name)
     worlds.spin(made.world, made.world.now_ms + 1000.0)
     start_ms = made.world.now_ms
-    for number, name in enumerate(gone):
+    for number, name in enumerate(lost_names):
         harm.add_depot(made, f"d{8 + number}", name)
 
     def full():
@@ -151,7 +151,7 @@
 
 
 def test_a_rolling_restart_keeps_the_members_and_is_quick():
-    """No successor is in sight: each ends at once, and comes back as the member it was."""
+    """No successor is available: each member stops at once and returns as the same member."""
     for seed in (2, 3):
         made = build(seed)
         members = set(committed_members(made))
@@ -165,8 +165,8 @@
             assert set(committed_members(made)) == members, f"seed {seed}, {name}"
 
 
-def test_a_leaver_that_the_group_needs_stays_until_another_is_back():
-    """One member is down: were a second to end now, no majority would be left."""
+def test_a_leaving_member_that_is_needed_stays_until_another_is_back():
+    """One member is down: if a second one stopped now, no majority would be left."""
     made = build(2)
     down = follower_of(made)
     leaver = next(n for n in depots_of(made) if n not in (down, made.leader()))
@@ -187,7 +187,7 @@
     assert serves_again(made, leaver)
 
 
-def test_a_leaver_with_no_majority_left_ends_when_its_time_is_up():
+def test_a_leaving_member_without_a_majority_stops_at_its_deadline():
     made = build(2)
     leaver, *others = [made.leader(), *[n for n in depots_of(made) if n != made.leader()]]
     for name in others:
