--- a/libs/membership/src/membership/greetings.py
+++ b/libs/membership/src/membership/greetings.py
@@ -7,13 +7,13 @@
 
 import math
 
-from transport.messages import Greet, GroupCard
+from transport.messages import Gossip, GroupInfo
 
 from membership import summaries
 
 __all__ = ["LONGEST_SILENCE", "NO_GROUP", "SILENCE_STEPS", "greeting"]
 
-NO_GROUP = GroupCard("", 0, 0, "", ())
+NO_GROUP = GroupInfo("", 0, 0, "", ())
 # Silence is sent in steps; so many make up the time after which a node counts as lost.
 SILENCE_STEPS = 64
 # The largest number of steps that fits into a byte.
@@ -45,7 +45,7 @@
         if same_names
         else names
     )
-    return Greet(
+    return Gossip(
         peers.card,
         answer,
         tuple(peers.cards[n] for n in cards_to_send),
--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -10,8 +10,8 @@
 import random
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
-from transport.messages import Card, GroupCard
+from transport.effects import LogLine, Send
+from transport.messages import GroupInfo, NodeInfo
 
 from membership import greetings, summaries
 from membership.greetings import LONGEST_SILENCE, NO_GROUP, SILENCE_STEPS
@@ -43,7 +43,7 @@
     node is known to have had contact with it.  `first_seen_ms` is when a card was first seen by
     any node, `learned_ms` when it came here."""
 
-    card: Card
+    card: NodeInfo
     seeds: tuple
     random: random.Random
     gossip_ms: float
@@ -51,12 +51,12 @@
     cards: dict = field(default_factory=dict)
     last_contact_ms: dict = field(default_factory=dict)
     alive_ms: dict = field(default_factory=dict)
-    group: GroupCard = NO_GROUP
+    group: GroupInfo = NO_GROUP
     next_ms: float = 0.0
     turn: int = 0
     digests: dict = field(default_factory=dict)
     group_digests: dict = field(default_factory=dict)
-    turn_group: GroupCard = NO_GROUP
+    turn_group: GroupInfo = NO_GROUP
     group_turn: int = 0
     first_seen_ms: dict = field(default_factory=dict)
     learned_ms: dict = field(default_factory=dict)
@@ -175,7 +175,9 @@
     peers.cards[card.name], peers.first_seen_ms[card.name] = card, first_seen_ms
     peers.learned_ms[card.name] = now_ms
     return (
-        [Note("meets", {"name": card.name, "address": card.address})] if known_card is None else []
+        [LogLine("meets", {"name": card.name, "address": card.address})]
+        if known_card is None
+        else []
     )
 
 
--- a/libs/membership/src/membership/summaries.py
+++ b/libs/membership/src/membership/summaries.py
@@ -9,7 +9,7 @@
 import zlib
 from dataclasses import dataclass
 
-from transport.messages import Card
+from transport.messages import NodeInfo
 
 __all__ = ["Summary", "group_digest", "make", "of", "weight", "WATCHED"]
 
@@ -24,7 +24,7 @@
     `digest` covers all cards and `names_digest` their names, the node's own included; `names`
     is sorted; `watched` has the names of the peers that the node watches."""
 
-    card: Card
+    card: NodeInfo
     cards: dict
     digest: int
     names_digest: int
--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -5,14 +5,14 @@
 up to a size limit, and becomes one log entry.  If no batch is in flight and the last write
 was fast, a batch is written at once.  Otherwise at most `in_flight` batches are in flight,
 and the next batch waits briefly for the shards of the last one: their holders usually send
-their next sections together, right after the `Durable` message.
+their next sections together, right after the `DurablePositions` message.
 """
 
 from dataclasses import dataclass, field
 
 from transport.codec import to_bytes
 from transport.effects import Send
-from transport.messages import Batch, Durable, Refused, ShardPlace
+from transport.messages import AppendRefused, Batch, DurablePositions, ShardPosition
 
 from replication import log_replication, state_machine
 from replication.group import last_index
@@ -49,7 +49,7 @@
     `next`, `epochs` and `connections` hold, by shard, the next expected position, the epoch
     of the newest staged lease and the connection of the holder.  `flush_ms` is a moving
     average of the time from write to commit; `turnMs` is one, by shard, of the time between
-    a `Durable` message and the holder's next section.
+    a `DurablePositions` message and the holder's next section.
     """
 
     serving: bool = False
@@ -97,7 +97,12 @@
         if known >= len(section.records):
             position = replica.state.shards[section.shard].next - 1
             return [
-                Send(sender, Durable(replica.term, (ShardPlace(section.shard, epoch, position),)))
+                Send(
+                    sender,
+                    DurablePositions(
+                        replica.term, (ShardPosition(section.shard, epoch, position),)
+                    ),
+                )
             ]
         section = type(section)(
             section.shard, epoch, section.kind, expected, section.records[known:]
@@ -109,7 +114,7 @@
 
 
 def _refused(replica, section, cause, expected):
-    return Refused(section.shard, section.epoch, cause, expected, replica.term)
+    return AppendRefused(section.shard, section.epoch, cause, expected, replica.term)
 
 
 def _record_turnaround(writer, now_ms, shard):
@@ -142,7 +147,7 @@
     positions = {}
     for s in sections:
         if s.kind == state_machine.RECORDS:
-            positions[s.shard] = ShardPlace(s.shard, s.epoch, s.first + len(s.records) - 1)
+            positions[s.shard] = ShardPosition(s.shard, s.epoch, s.first + len(s.records) - 1)
             writer.records += len(s.records)
     writer.batches += 1
     writer.last_shards = frozenset(positions)
@@ -183,6 +188,6 @@
                 )
                 writer.reported_ms[position.shard] = now_ms
     return [
-        Send(connection, Durable(replica.term, tuple(positions.values())))
+        Send(connection, DurablePositions(replica.term, tuple(positions.values())))
         for connection, positions in by_connection.items()
     ]
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -9,7 +9,7 @@
 import hashlib
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
+from transport.effects import LogLine, Send
 from transport.messages import BootstrapReply, BootstrapRequest, Member
 
 from replication.group import last_index, save_persistent_state
@@ -95,7 +95,7 @@
 def _adopt(replica, now_ms, group, founders):
     replica.group, replica.founders = group, founders
     replica.election_due_ms = now_ms + replica.settings.election_ms * replica.random.random()
-    return [save_persistent_state(replica), Note("founds", {"group": group})]
+    return [save_persistent_state(replica), LogLine("founds", {"group": group})]
 
 
 def on_reply(replica, bootstrap, now_ms, reply):
--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -8,7 +8,7 @@
 """
 
 from transport.codec import to_bytes
-from transport.effects import Dump, Note, Send
+from transport.effects import DumpLog, LogLine, Send
 from transport.messages import Batch, TransferLeadership, VoteReply, VoteRequest
 
 from replication import log_replication, state_machine
@@ -46,7 +46,7 @@
     """Become a follower; a newer term is saved before any other message is sent."""
     effects = []
     if replica.role == "leader":
-        effects.append(Note("left-lead", {"term": replica.term}))
+        effects.append(LogLine("left-lead", {"term": replica.term}))
     replica.role, replica.pre_vote = "follower", False
     replica.votes = set()
     if term > replica.term:
@@ -90,11 +90,11 @@
         and now_ms - replica.leader_since_ms > 1.5 * replica.settings.election_ms
     ):
         return step_down(replica, replica.term, now_ms) + [
-            Note("majority-silent", {"term": replica.term}),
-            Dump("majority-silent"),
+            LogLine("majority-silent", {"term": replica.term}),
+            DumpLog("majority-silent"),
         ]
     if _disk_stalled(replica, now_ms):
-        return [Note("disk-stalled", {"term": replica.term}), Dump("disk-stalled")] + (
+        return [LogLine("disk-stalled", {"term": replica.term}), DumpLog("disk-stalled")] + (
             transfer_leadership(replica, now_ms)
         )
     effects = []
@@ -174,7 +174,7 @@
         sections.append(state_machine.members_section(members(replica)))
     replica.term_index = last_index(replica) + 1
     return [
-        Note("leads", {"term": replica.term, "index": last_index(replica)})
+        LogLine("leads", {"term": replica.term, "index": last_index(replica)})
     ] + log_replication.propose(replica, now_ms, to_bytes(Batch(tuple(sections))))
 
 
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from transport.effects import Send, Wake
-from transport.messages import FeedItems, Mark
+from transport.messages import FeedEntries, FreshnessMark
 
 from replication import entry_batch, feed_snapshots, log_replication
 from replication.group import entry_at
@@ -75,7 +75,7 @@
     confirmed = [waiting for waiting in requests.waiting if waiting[2] <= round_]
     requests.waiting = [waiting for waiting in requests.waiting if waiting[2] > round_]
     effects = [
-        Send(sender, Mark(request.sent_ms, replica.term, replica.commit, True))
+        Send(sender, FreshnessMark(request.sent_ms, replica.term, replica.commit, True))
         for sender, request, _ in confirmed
     ]
     if requests.waiting:
@@ -132,7 +132,7 @@
         node.last_progress_ms = now_ms
     node.sent_position = entries[-1].index
     node.in_flight.append((node.sent_position, size))
-    return [Send(node.address, FeedItems(replica.term, node.sent_position, entries))]
+    return [Send(node.address, FeedEntries(replica.term, node.sent_position, entries))]
 
 
 def _entries_due(replica, first):
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -12,12 +12,12 @@
 
 from transport.effects import Send
 from transport.messages import (
-    Ask,
     FeedChunk,
     FeedChunkReply,
-    FeedItems,
+    FeedEntries,
+    FeedRequest,
     FeedSnapshot,
-    Mark,
+    FreshnessMark,
 )
 from transport.transfer_messages import ChunkAck
 
@@ -90,7 +90,7 @@
     follower.requested_ms = now_ms
     return Send(
         to,
-        Ask(
+        FeedRequest(
             card.name,
             card.address,
             card.incarnation,
@@ -192,7 +192,9 @@
             continue
         if request.place < follower.position:
             effects += _entries_or_snapshot(follower, now_ms, sender, request.place)
-        effects.append(Send(sender, Mark(request.sent_ms, follower.term, follower.position, False)))
+        effects.append(
+            Send(sender, FreshnessMark(request.sent_ms, follower.term, follower.position, False))
+        )
     follower.relay_requests = [r for r in follower.relay_requests if follower.current_ms < r[2]]
     return effects
 
@@ -203,7 +205,7 @@
         follower.relay_transfers.pop(sender, None)
         due = (entry for entry in follower.recent if entry.index > position)
         entries, _ = entry_batch.take_up_to_bytes(due, _BYTES_PER_SEND)
-        return [Send(sender, FeedItems(follower.term, entries[-1].index, entries))]
+        return [Send(sender, FeedEntries(follower.term, entries[-1].index, entries))]
     _drop_silent_transfers(follower, now_ms)
     transfer = follower.relay_transfers.get(sender)
     if transfer is None or transfer.outgoing.snapshot.id.index <= position:
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from transport.effects import Note, Send
+from transport.effects import LogLine, Send
 from transport.messages import ShardChunk
 from transport.rendezvous import weight
 
@@ -179,7 +179,7 @@
     )
     batch_writer.stage_internal(writer, section)
     writer.next[shard] = max(pending + [shard_state.next - 1]) + 1
-    return [Note("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
+    return [LogLine("leases", {"shard": shard, "epoch": section.epoch, "to": name})]
 
 
 def on_release(replica, writer, nodes, now_ms, message):
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from transport.effects import Finished, Note, Send
+from transport.effects import Finished, LogLine, Send
 from transport.messages import LeaveReply, LeaveRequest
 
 from replication import election
@@ -116,7 +116,7 @@
 
 def _finish(leave, reason):
     leave.done = True
-    return [Note("left-group", {"why": reason}), Finished()]
+    return [LogLine("left-group", {"why": reason}), Finished()]
 
 
 def on_reply(replica, leave, message):
--- a/libs/replication/src/replication/log_following.py
+++ b/libs/replication/src/replication/log_following.py
@@ -4,7 +4,7 @@
 match the leader's log.
 """
 
-from transport.effects import Install, Note, Send
+from transport.effects import Install, LogLine, Send
 from transport.messages import AppendReply
 
 from replication import log_commit, state_machine
@@ -48,7 +48,7 @@
     effects = []
     if not replica.group:
         replica.group = message.group
-        effects.append(Note("joins", {"group": replica.group}))
+        effects.append(LogLine("joins", {"group": replica.group}))
     if message.term > replica.term or len(effects):
         replica.term = max(replica.term, message.term)
         replica.voted_for, replica.verified = "", 0
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -12,7 +12,7 @@
 from collections import Counter
 
 from transport.codec import to_bytes
-from transport.effects import Note
+from transport.effects import LogLine
 from transport.messages import Batch, Member
 
 from replication import catch_up, leaving, log_replication, state_machine
@@ -196,5 +196,5 @@
 def _propose(replica, now_ms, membership, verb, name):
     section = state_machine.members_section(membership)
     return [
-        Note("member-" + verb, {"name": name, "majority": majority(replica)})
+        LogLine("member-" + verb, {"name": name, "majority": majority(replica)})
     ] + log_replication.propose(replica, now_ms, to_bytes(Batch((section,))))
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from transport.effects import Send
-from transport.messages import Append, RecoverAsk, Section, ShardChunkReply
+from transport.messages import BatchSection, RecoveryRequest, ShardAppend, ShardChunkReply
 
 from replication import snapshot_transfer, state_machine
 
@@ -85,7 +85,7 @@
 def request_recovery(log, now_ms, card, to):
     """Ask the leader for the shard's content."""
     log.requested_ms = now_ms
-    return [Send(to, RecoverAsk(log.shard, log.epoch, card.address, 0))]
+    return [Send(to, RecoveryRequest(log.shard, log.epoch, card.address, 0))]
 
 
 def on_chunk(log, now_ms, sender, message):
@@ -134,8 +134,8 @@
         records = _section_records(log.unacked[first - log.durable - 1 :])
         bytes_in_flight += sum(len(record) for record in records)
         log.sent, log.sent_ms = log.sent + len(records), now_ms
-        section = Section(log.shard, log.epoch, state_machine.RECORDS, first, records)
-        effects.append(Send(to, Append(card.name, card.incarnation, section)))
+        section = BatchSection(log.shard, log.epoch, state_machine.RECORDS, first, records)
+        effects.append(Send(to, ShardAppend(card.name, card.incarnation, section)))
     return effects
 
 
@@ -212,10 +212,10 @@
     if now_ms - prepared.last_sent_ms < retry_ms:
         return []
     prepared.last_sent_ms = now_ms
-    section = Section(
+    section = BatchSection(
         log.shard, log.epoch, state_machine.CHECKPOINT, prepared.position, (prepared.body,)
     )
-    return [Send(to, Append(card.name, card.incarnation, section))]
+    return [Send(to, ShardAppend(card.name, card.incarnation, section))]
 
 
 def barrier(log, action):
--- a/libs/replication/src/replication/state_machine.py
+++ b/libs/replication/src/replication/state_machine.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from transport.codec import from_bytes, to_bytes
-from transport.messages import Batch, Member, Section
+from transport.messages import Batch, BatchSection, Member
 
 __all__ = [
     "StateMachine",
@@ -191,15 +191,15 @@
 def lease_section(shard, epoch, holder, incarnation):
     """Return the section that grants a shard's lease."""
     payload = json.dumps({"holder": holder, "incarnation": incarnation}).encode()
-    return Section(shard, epoch, LEASE, 0, (payload,))
+    return BatchSection(shard, epoch, LEASE, 0, (payload,))
 
 
 def members_section(members):
     """Return the section that sets the membership."""
     payload = [vars(members[i]) for i in sorted(members)]
-    return Section(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(payload).encode(),))
+    return BatchSection(GROUP_SHARD, 0, MEMBERS, 0, (json.dumps(payload).encode(),))
 
 
 def term_section(term):
     """Return the section with which a new leader commits an entry of its own term."""
-    return Section(GROUP_SHARD, term, TERM, 0, ())
+    return BatchSection(GROUP_SHARD, term, TERM, 0, ())
--- a/tests/test_batch_writer.py
+++ b/tests/test_batch_writer.py
@@ -9,14 +9,21 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 from transport.effects import Send, Write
-from transport.messages import Durable, Member, RecoverAsk, Refused, Section, ShardChunkReply
+from transport.messages import (
+    AppendRefused,
+    BatchSection,
+    DurablePositions,
+    Member,
+    RecoveryRequest,
+    ShardChunkReply,
+)
 
 TIMES = dict(election_ms=720.0, heartbeat_ms=180.0, ping_ms=360.0, revoke_ms=3000.0)
 
 
 class Leader:
     """A single leader with a disk of a given speed, and lease holders that send their next
-    section a short time after each `Durable` message."""
+    section a short time after each `DurablePositions` message."""
 
     def __init__(self, shards, flush_ms, group_wait=True):
         self.replica = groups.Replica(
@@ -46,7 +53,7 @@
             if isinstance(effect, Write):
                 took_ms = self.flush_ms * (0.9 + 0.2 * self.rng.random())
                 self.at(took_ms, "written", effect.entries[-1], took_ms)
-            elif isinstance(effect, Send) and isinstance(effect.message, Durable):
+            elif isinstance(effect, Send) and isinstance(effect.message, DurablePositions):
                 for position in effect.message.places:
                     assert position.position > self.durable.get(position.shard, 0)
                     self.durable[position.shard] = position.position
@@ -75,7 +82,7 @@
                         self.writer,
                         self.now,
                         f"pipe{shard}",
-                        Section(shard, 1, state_machine.RECORDS, first, (b"{}",)),
+                        BatchSection(shard, 1, state_machine.RECORDS, first, (b"{}",)),
                     )
                 )
             self.do(batch_writer.report_durable(self.replica, self.writer, self.now))
@@ -100,7 +107,7 @@
     """Recover a shard for a new holder; returns its log and the size of each chunk."""
     log, sizes = shard_log.ShardLog(shard, epoch), []
     queue = leases.on_recover(
-        leader.replica, leader.writer, "new", RecoverAsk(shard, epoch, "new", 0)
+        leader.replica, leader.writer, "new", RecoveryRequest(shard, epoch, "new", 0)
     )
     while queue:
         message = queue.pop(0).message
@@ -133,27 +140,27 @@
     def test_stale_epochs_and_gaps_are_refused(self):
         leader = Leader(2, 1.0)
         for epoch, first, cause in ((0, 1, "epoch"), (2, 1, "epoch"), (1, 2, "place")):
-            section = Section(1, epoch, state_machine.RECORDS, first, (b"{}",))
+            section = BatchSection(1, epoch, state_machine.RECORDS, first, (b"{}",))
             refusal = batch_writer.stage(leader.replica, leader.writer, 0.0, "p", section)[
                 0
             ].message
-            self.assertIsInstance(refusal, Refused)
+            self.assertIsInstance(refusal, AppendRefused)
             self.assertThat(refusal.cause, Equals(cause))
         self.assertThat(leader.writer.staged, Equals([]))
 
     def test_a_lease_drops_staged_sections_but_not_those_in_flight(self):
         leader = Leader(2, 10.0)
-        in_flight = Section(1, 1, state_machine.RECORDS, 1, (b'{"k":"a"}',))
+        in_flight = BatchSection(1, 1, state_machine.RECORDS, 1, (b'{"k":"a"}',))
         leader.do(batch_writer.stage(leader.replica, leader.writer, 0.0, "old", in_flight))
         leader.do(batch_writer.write_due(leader.replica, leader.writer, 0.0))
-        staged = Section(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
+        staged = BatchSection(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         leader.do(batch_writer.stage(leader.replica, leader.writer, 0.0, "old", staged))
         nodes = leases.NodeTable(contacts={"new": leases.NodeContact("n", "n.1", "counter", 0.0)})
         leases._grant(leader.replica, leader.writer, nodes, 1, "new")
         self.assertThat([s.kind for s in leader.writer.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(leader.replica, leader.writer, 0.0, "old", staged)[0].message
         self.assertThat(late.cause, Equals("epoch"))
-        ask = RecoverAsk(1, 2, "new", 0)
+        ask = RecoveryRequest(1, 2, "new", 0)
         self.assertThat(
             leases.on_recover(leader.replica, leader.writer, "new", ask),
             Equals([]),
--- a/tests/test_feed_pace.py
+++ b/tests/test_feed_pace.py
@@ -32,7 +32,7 @@
             scene.commit(1000 + turn, 10)
             since_ms = scene.now_ms if since_ms is None else since_ms
             for effect in feed.push(group, scene.depot.nodes, scene.now_ms):
-                self.assertIsInstance(effect.message, m.FeedItems)
+                self.assertIsInstance(effect.message, m.FeedEntries)
                 pushed, since_ms = pushed + 1, None
             if since_ms is not None:
                 longest_ms = max(longest_ms, scene.now_ms - since_ms)
@@ -74,7 +74,7 @@
                 effects += depots._on_message(scene.depot, now_ms, "f", request, "g")
             effects += feed.answer_requests(replica, requests, now_ms)
             for effect in effects:
-                if isinstance(getattr(effect, "message", None), m.Mark):
+                if isinstance(getattr(effect, "message", None), m.FreshnessMark):
                     requested_ms = pending.pop(effect.message.sent_ms)
                     longest_ms = max(longest_ms, now_ms - requested_ms)
         return replica.round - before, longest_ms, replica.settings.heartbeat_ms
--- a/tests/test_feed_snapshots.py
+++ b/tests/test_feed_snapshots.py
@@ -36,7 +36,7 @@
         self.depot.group.progress = {}
         self.depot.group.founders = (m.Member("a", "a", "a"),)
         self.follow = follower.FeedFollower()
-        self.card = m.Card("f", "counter", "z", "f", "f", "f.1")
+        self.card = m.NodeInfo("f", "counter", "z", "f", "f", "f.1")
         self.now_ms, self.passes = 0.0, lambda message: True
         self.largest = self.chunk_bytes = self.entry_bytes = self.rebuilt = 0
 
@@ -72,11 +72,11 @@
         self.largest = max(self.largest, len(frames.pack(message)))
         if isinstance(message, m.FeedChunk):
             self.chunk_bytes += len(message.chunk.body)
-        if isinstance(message, m.FeedItems):
+        if isinstance(message, m.FeedEntries):
             self.entry_bytes += sum(len(entry.body) for entry in message.entries)
 
     def _on_message(self, message):
-        if isinstance(message, m.FeedItems):
+        if isinstance(message, m.FeedEntries):
             follower.on_items(self.follow, message)
         if not isinstance(message, m.FeedChunk):
             return []
@@ -128,7 +128,7 @@
         """On a slow link, entries may take longer than a ping interval to arrive."""
         scene = FeedScene(1000)
         scene.ping()
-        scene.passes = lambda message: not isinstance(message, m.FeedItems)
+        scene.passes = lambda message: not isinstance(message, m.FeedEntries)
         for number in range(2, 22):
             scene.commit(number, 100_000)
             scene.push()
@@ -143,7 +143,7 @@
 
     def test_concurrent_transfers_are_limited(self):
         scene = FeedScene()
-        cards = [m.Card(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
+        cards = [m.NodeInfo(f"f{n}", "counter", "z", f"f{n}", "h", "1") for n in range(90)]
         sent = 0
         for card in cards:
             request = follower.make_request(follower.FeedFollower(), 0.0, card, "a").message
@@ -162,7 +162,7 @@
         scene.ping()
         now_ms, largest = 10_000.0, 0
         ahead.current_ms = now_ms + 1
-        card = m.Card("g", "counter", "z", "g", "g", "g.1")
+        card = m.NodeInfo("g", "counter", "z", "g", "g", "g.1")
         request = follower.make_request(behind, now_ms, card, "f").message
         follower.on_relay_request(ahead, now_ms, "g", request)
         queue = follower.answer_relays(ahead, now_ms)
@@ -182,7 +182,7 @@
         follow = follower.FeedFollower()
         for index in range(1, 200):
             entry = m.Entry(index, 1, batch(1, index, bytes(200_000)))
-            follower.on_items(follow, m.FeedItems(1, index, (entry,)))
+            follower.on_items(follow, m.FeedEntries(1, index, (entry,)))
         kept = sum(len(entry.body) for entry in follow.recent)
         self.assertThat(kept, LessThan(10 << 20))
         self.assertThat(follow.recent_bytes, Equals(kept))
@@ -191,7 +191,7 @@
 class Holders(TestCase):
     def transfer_shard(self, replica, writer, log, passes):
         """Let a holder send pings until it has its shard; returns the bytes sent to it."""
-        sent, card = 0, m.Card("h", "counter", "z", "h", "h", "h.1")
+        sent, card = 0, m.NodeInfo("h", "counter", "z", "h", "h", "h.1")
         for turn in range(100):
             queue = [
                 ("a", e.message) for e in shard_log.request_recovery(log, turn * 240.0, card, "a")
@@ -203,7 +203,7 @@
                     self.assertThat(len(frames.pack(message)), LessThan(MOST_MESSAGE_BYTES))
                 if not passes():
                     continue
-                if isinstance(message, m.RecoverAsk):
+                if isinstance(message, m.RecoveryRequest):
                     effects = leases.on_recover(replica, writer, "h", message)
                 elif isinstance(message, m.ShardChunkReply):
                     effects = leases.on_chunk_reply(writer, "h", message)
--- a/tests/test_lease_lost.py
+++ b/tests/test_lease_lost.py
@@ -69,7 +69,7 @@
     def change_here(self, name):
         """Send a change to one node, without waiting for its result."""
         body = {**self.layout(), "change": "asked-here"}
-        worlds.post(self.run.world, self.host(name), e.Asked("here", "layout", body))
+        worlds.post(self.run.world, self.host(name), e.LocalRequest("here", "layout", body))
 
     def change(self):
         """Request a change; returns a list that gets the time until its acknowledgement."""
@@ -114,7 +114,7 @@
         for seed in SEEDS:
             scene = Scene(seed)
             worlds.cut(scene.run.world, scene.holder, scene.leader)
-            worlds.post(scene.run.world, scene.host(scene.holder), e.Closing())
+            worlds.post(scene.run.world, scene.host(scene.holder), e.Shutdown())
             scene.spin(30.0)
             worlds.heal(scene.run.world)
             acknowledged_ms = scene.change()
