--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -5,7 +5,7 @@
 up to a size limit, and becomes one log entry.  If no batch is in flight and the last write
 was fast, a batch is written at once.  Otherwise at most `in_flight` batches are in flight,
 and the next batch waits briefly for the shards of the last one: their holders usually send
-their next sections together, right after the `Durable` message.
+their next sections together, right after the `DurablePositions` message.
 """
 
 from dataclasses import dataclass, field
@@ -49,7 +49,7 @@
     `next`, `epochs` and `connections` hold, by shard, the next expected position, the epoch
     of the newest staged lease and the connection of the holder.  `flush_ms` is a moving
     average of the time from write to commit; `turnMs` is one, by shard, of the time between
-    a `Durable` message and the holder's next section.
+    a `DurablePositions` message and the holder's next section.
     """
 
     serving: bool = False
