--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -64,7 +64,7 @@
     """Whether no majority has confirmed anything to this node for longer than a change of
     leaders takes.  One that has only just started can't tell yet."""
     longest_ms = 2 * (node.times.elect_ms + node.times.ping_ms)
-    return node.follow.current_ms > _NEVER_MS and follows.age(node.follow, now_ms) > longest_ms
+    return node.follower.current_ms > _NEVER_MS and follows.age(node.follower, now_ms) > longest_ms
 
 
 def answer_by(node, now_ms):
@@ -100,7 +100,7 @@
     body = {**body, "change": id_}
     zone = body.get("zone")
     if verb == "zone" and isinstance(zone, str) and body.get("expect") is None:
-        body["since"] = node.floor.registry.zoneStamps.get(zone, 0)
+        body["since"] = node.cluster.registry.zoneStamps.get(zone, 0)
     return body
 
 
@@ -125,7 +125,7 @@
     """Where the holder of a shard is reached; empty if nobody knows."""
     if shard == LOG_SHARD:
         return node.peers.group.leader
-    part = node.follow.state.shards.get(shard)
+    part = node.follower.state.shards.get(shard)
     if part is None or not part.holder:
         return ""
     if part.holder == node.card.name:
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -15,7 +15,16 @@
 from routing import router
 from transport import failures
 
-__all__ = ["Config", "read", "check", "times", "terms", "routing", "quotas", "Bounds"]
+__all__ = [
+    "Bounds",
+    "Config",
+    "check",
+    "placement_settings",
+    "quota_settings",
+    "read",
+    "routing_settings",
+    "times",
+]
 
 _ADDRESS = validate.Regexp(
     r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$",
@@ -206,7 +215,7 @@
     )
 
 
-def terms(config):
+def placement_settings(config):
     back_ms = config.bounds.serviceBackMs
     return dispatching.Terms(
         call_ms=0.08 * back_ms,
@@ -218,7 +227,7 @@
     )
 
 
-def routing(config):
+def routing_settings(config):
     back_ms = config.bounds.serviceBackMs
     return router.Terms(
         staleMs=float("inf")
@@ -239,7 +248,7 @@
     )
 
 
-def quotas(config):
+def quota_settings(config):
     bounds = config.bounds
     return quota_terms.Terms(
         float(bounds.quotaWindowMs),
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -16,8 +16,8 @@
 def read(node, now_ms, body):
     """One confirmed read; `what` names the part."""
     what, name = body.get("what", "layout"), body.get("name", "")
-    reg = node.floor.registry
-    head = {"stamp": reg.stamp, "place": node.follow.place}
+    reg = node.cluster.registry
+    head = {"stamp": reg.stamp, "place": node.follower.place}
     if what == "layout":
         return {
             **head,
@@ -43,7 +43,7 @@
         return {**head, "unmet": _unmet(node, name)}
     return {
         **head,
-        "holds": {str(s): ledger.holds for s, ledger in sorted(node.floor.ledgers.items())},
+        "holds": {str(s): ledger.holds for s, ledger in sorted(node.cluster.ledgers.items())},
     }
 
 
@@ -60,17 +60,17 @@
 
 def _engines(node, name):
     found = []
-    for engine in node.floor.registry.engines.values():
+    for engine in node.cluster.registry.engines.values():
         if name not in ("", engine["name"], engine["service"]):
             continue
         shard = world.shard_of(engine["service"], node.config.shards)
-        ledger = node.floor.ledgers.get(shard, ledgers.Ledger())
+        ledger = node.cluster.ledgers.get(shard, ledgers.Ledger())
         found.append(
             {
                 **engine,
                 "shard": shard,
                 "incarnation": ledger.incarnations.get(engine["name"], ""),
-                "usable": world.usable(node.floor.registry, engine),
+                "usable": world.usable(node.cluster.registry, engine),
                 "items": {
                     i: {"verb": e["verb"], "state": e["state"]}
                     for i, e in sorted(ledger.engines.get(engine["name"], {}).items())
@@ -82,7 +82,7 @@
 
 def _unmet(node, name):
     found = {}
-    for ledger in node.floor.ledgers.values():
+    for ledger in node.cluster.ledgers.values():
         for service, unmet in ledger.unmet.items():
             for wish, why in unmet.items():
                 if name in ("", wish, wish.partition(":")[2], service):
@@ -96,22 +96,22 @@
         "node": node.card.name,
         "role": node.card.role,
         "zone": node.card.zone,
-        "place": node.follow.place,
-        "term": node.follow.term,
-        "ageMs": round(min(follows.age(node.follow, now_ms), 1e9)),
+        "place": node.follower.place,
+        "term": node.follower.term,
+        "ageMs": round(min(follows.age(node.follower, now_ms), 1e9)),
         "leader": node.peers.group.leader,
         "group": node.peers.group.group,
         "members": [vars(x) for x in node.peers.group.members],
-        "stamp": node.floor.registry.stamp,
-        "stamps": dict(sorted(node.floor.registry.stamps.items())),
-        "zones": dict(sorted(node.floor.registry.zones.items())),
+        "stamp": node.cluster.registry.stamp,
+        "stamps": dict(sorted(node.cluster.registry.stamps.items())),
+        "zones": dict(sorted(node.cluster.registry.zones.items())),
         "fellows": {n: c.address for n, c in sorted(node.peers.cards.items())},
         "https": {n: c.http for n, c in sorted(node.peers.cards.items())},
         "watches": peer_table.watched(node.peers),
         "live": sorted(peer_table.live(node.peers, now_ms)),
         "holders": {
             str(s): {"holder": p.holder, "epoch": p.epoch}
-            for s, p in sorted(node.follow.state.shards.items())
+            for s, p in sorted(node.follower.state.shards.items())
         },
         "holds": {
             str(s): {
@@ -121,7 +121,7 @@
                 "next": k.held.next,
                 "durable": k.held.durable,
             }
-            for s, k in sorted(node.owners.owners.items())
+            for s, k in sorted(node.ownership.owners.items())
         },
         "engines": {e["name"]: e["items"] for e in _engines(node, "")},
         "router": {
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -50,20 +50,20 @@
     card: m.Card
     config: configs.Config
     peers: peer_table.PeerTable
-    follow: follows.Follow
-    floor: floors.Floor
-    owners: shard_ownership.ShardOwnership
+    follower: follows.Follow
+    cluster: floors.Floor
+    ownership: shard_ownership.ShardOwnership
     router: router.Router
     operator: operator_requests.OperatorRequests
     quotas: quota_requests.Quotas
     depot: object = None
     times: object = None
-    terms: object = None
+    placement_settings: object = None
     closing: bool = False
     closing_ms: float = 0.0
     leaving: bool = False
-    ask_turn: int = 0
-    learned_ms: float = -1e12
+    feed_query_count: int = 0
+    membership_learned_ms: float = -1e12
 
 
 def make(config, incarnation, seed, group=None, dialect=None):
@@ -92,14 +92,14 @@
         follows.Follow(),
         floors.Floor(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
-        router.Router(configs.routing(config)),
+        router.Router(configs.routing_settings(config)),
         operator_requests.OperatorRequests(),
         quota_requests.make(config, random.Random(seed + 1), group),
         times=times,
-        terms=configs.terms(config),
+        placement_settings=configs.placement_settings(config),
     )
-    node.floor.registry.zonesKnown = config.zones
-    node.floor.registry.reader = reader
+    node.cluster.registry.zonesKnown = config.zones
+    node.cluster.registry.reader = reader
     if group is not None:
         node.depot = depots.Depot(group, config.shards, card)
     return node
@@ -115,7 +115,9 @@
     elif isinstance(event, e.Asked):
         effects = operator_requests.asked(node, now_ms, event)
     elif isinstance(event, e.Called):
-        effects = shard_ownership.on_called(node.owners, now_ms, event, node.floor, node.terms)
+        effects = shard_ownership.on_called(
+            node.ownership, now_ms, event, node.cluster, node.placement_settings
+        )
     elif isinstance(event, e.Closing):
         effects = _close(node, now_ms)
     elif isinstance(event, e.Tick):
@@ -126,7 +128,7 @@
         effects += _depot(node, now_ms, event)
     if node.closing:
         effects = _before_the_end(node, now_ms, effects)
-    effects += shard_ownership.flush(node.owners, now_ms, node.card, leader_of(node))
+    effects += shard_ownership.flush(node.ownership, now_ms, node.card, leader_of(node))
     return command_forwarding.translate(node, now_ms, effects)
 
 
@@ -150,17 +152,17 @@
     effects += _ask(node, now_ms)
     if not node.closing:
         effects += shard_ownership.tick(
-            node.owners,
+            node.ownership,
             now_ms,
             node.card,
-            node.follow,
-            node.floor,
+            node.follower,
+            node.cluster,
             node.times,
-            node.terms,
+            node.placement_settings,
             leader_of(node),
             lambda name, life: peer_table.lost(node.peers, now_ms, name, life),
         )
-    effects += router.tick(node.router, now_ms, node.floor)
+    effects += router.tick(node.router, now_ms, node.cluster)
     effects += quota_requests.tick(node, now_ms, operator_requests.crew)
     effects += _wake(node, now_ms)
     effects += refusal_notes.drain(node.router)
@@ -169,45 +171,47 @@
 
 def _ask(node, now_ms):
     """Ping the log node; when it is silent, ask around, and ask fellows too."""
-    if now_ms - node.follow.asked_ms < node.times.ping_ms:
+    if now_ms - node.follower.asked_ms < node.times.ping_ms:
         return []
     to = leader_of(node)
-    silent = now_ms - max(node.follow.direct_ms, node.learned_ms) > 2 * node.times.ping_ms
+    silent = (
+        now_ms - max(node.follower.direct_ms, node.membership_learned_ms) > 2 * node.times.ping_ms
+    )
     effects = []
-    node.ask_turn += 1
+    node.feed_query_count += 1
     if silent or not to:
         around = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
         if around:
-            target = around[node.ask_turn % len(around)]
+            target = around[node.feed_query_count % len(around)]
             effects.append(Send(target, greetings.greeting(node.peers, True, now_ms, target)))
-            to = to if node.ask_turn % 2 and to else target
+            to = to if node.feed_query_count % 2 and to else target
         for name in peer_table.watched(node.peers)[:2]:
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
-                    follows.ask(node.follow, now_ms, operator_requests.asker(node), card.address)
+                    follows.ask(node.follower, now_ms, operator_requests.asker(node), card.address)
                 )
     if to:
-        effects.append(follows.ask(node.follow, now_ms, operator_requests.asker(node), to))
+        effects.append(follows.ask(node.follower, now_ms, operator_requests.asker(node), to))
     return effects
 
 
 def _wake(node, now_ms):
     """Those in line try again; whom there is to share with matters only to them."""
-    engine_lives.notice(node.router, now_ms, node.floor)
+    engine_lives.notice(node.router, now_ms, node.cluster)
     if not any(task.waiting for task in node.router.tasks.values()):
         return []
     return router.wake(
         node.router,
         now_ms,
-        node.floor,
-        follows.age(node.follow, now_ms),
+        node.cluster,
+        follows.age(node.follower, now_ms),
         operator_requests.crew(node, now_ms),
     )
 
 
 def _news(node, now_ms, news):
-    if not floors.on_news(node.floor, node.follow.state, news):
+    if not floors.on_news(node.cluster, node.follower.state, news):
         return []
     return _wake(node, now_ms)
 
@@ -217,33 +221,41 @@
         before = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
         if node.peers.group != before:
-            node.learned_ms = now_ms
+            node.membership_learned_ms = now_ms
         return effects
     if isinstance(message, m.Mark):
-        follows.on_mark(node.follow, message)
-        return follows.relay(node.follow, now_ms) + operator_requests.current(node, now_ms)
+        follows.on_mark(node.follower, message)
+        return follows.relay(node.follower, now_ms) + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedItems):
-        effects = _news(node, now_ms, follows.on_items(node.follow, message))
-        effects += follows.relay(node.follow, now_ms)
+        effects = _news(node, now_ms, follows.on_items(node.follower, message))
+        effects += follows.relay(node.follower, now_ms)
         return effects + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedChunk):
-        effects, news = follows.on_chunk(node.follow, now_ms, node.card.name, sender, message)
+        effects, news = follows.on_chunk(node.follower, now_ms, node.card.name, sender, message)
         effects += _news(node, now_ms, news)
         return effects + operator_requests.current(node, now_ms)
     if isinstance(message, m.FeedChunkReply):
-        return follows.on_chunk_reply(node.follow, now_ms, sender, message)
+        return follows.on_chunk_reply(node.follower, now_ms, sender, message)
     if isinstance(message, m.Ask):
         if node.depot is None:
-            return follows.on_relay_ask(node.follow, now_ms, sender, message)
+            return follows.on_relay_ask(node.follower, now_ms, sender, message)
         return []
     if isinstance(message, m.Durable):
         return shard_ownership.on_durable(
-            node.owners, now_ms, message, node.follow, node.floor, node.times, node.terms
+            node.ownership,
+            now_ms,
+            message,
+            node.follower,
+            node.cluster,
+            node.times,
+            node.placement_settings,
         )
     if isinstance(message, m.Refused):
-        return shard_ownership.on_refused(node.owners, message)
+        return shard_ownership.on_refused(node.ownership, message)
     if isinstance(message, m.ShardChunk):
-        return shard_ownership.on_chunk(node.owners, now_ms, sender, message, node.terms)
+        return shard_ownership.on_chunk(
+            node.ownership, now_ms, sender, message, node.placement_settings
+        )
     if isinstance(message, m.QuotaAsk):
         return quota_requests.on_ask(node, now_ms, sender, message)
     if isinstance(message, m.QuotaGrant):
@@ -258,7 +270,7 @@
 def _before_the_end(node, now_ms, effects):
     """Hold `Finished` back while somebody waits for an answer, though not for long."""
     waited = now_ms - node.closing_ms > _ANSWERS_MS
-    if waited or not (node.operator.pending or shard_ownership.answers_waiting(node.owners)):
+    if waited or not (node.operator.pending or shard_ownership.answers_waiting(node.ownership)):
         return effects
     return [effect for effect in effects if not isinstance(effect, Finished)]
 
@@ -271,4 +283,4 @@
         for n in peer_table.live(node.peers, now_ms)
         if node.peers.cards[n].role == node.config.placers
     ]
-    return shard_ownership.release_all(node.owners, node.card, leader_of(node), sorted(names))
+    return shard_ownership.release_all(node.ownership, node.card, leader_of(node), sorted(names))
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -64,20 +64,20 @@
 
 
 def _ended(node, now_ms, token, body):
-    age_ms = follows.age(node.follow, now_ms)
+    age_ms = follows.age(node.follower, now_ms)
     nodes = crew(node, now_ms)
-    effects = router.ended(node.router, now_ms, node.floor, age_ms, nodes, token, body["proof"])
-    return effects + router.wake(node.router, now_ms, node.floor, age_ms, nodes)
+    effects = router.ended(node.router, now_ms, node.cluster, age_ms, nodes, token, body["proof"])
+    return effects + router.wake(node.router, now_ms, node.cluster, age_ms, nodes)
 
 
 def _silent(node, now_ms, token, body):
-    age_ms = follows.age(node.follow, now_ms)
-    return router.silent(node.router, now_ms, node.floor, age_ms, crew(node, now_ms), token)
+    age_ms = follows.age(node.follower, now_ms)
+    return router.silent(node.router, now_ms, node.cluster, age_ms, crew(node, now_ms), token)
 
 
 def _resume(node, now_ms, token, body):
     return resuming.resume(
-        node.router, now_ms, node.floor, crew(node, now_ms), token, body["incarnation"]
+        node.router, now_ms, node.cluster, crew(node, now_ms), token, body["incarnation"]
     )
 
 
@@ -90,7 +90,7 @@
     end_ms = command_forwarding.answer_by(node, now_ms)
     node.operator.reads.append(PendingRead(token, body, now_ms, end_ms))
     leader = node.peers.group.leader
-    return [follows.ask(node.follow, now_ms, asker(node), leader)] if leader else []
+    return [follows.ask(node.follower, now_ms, asker(node), leader)] if leader else []
 
 
 def _abandoned(node, now_ms, token, body):
@@ -120,7 +120,7 @@
 
 def _route(node, now_ms, token, body):
     name = body["name"]
-    for section in node.floor.registry.sections.values():
+    for section in node.cluster.registry.sections.values():
         if name in section["routes"]:
             return [Reply(token, Answered(200, section["routes"][name]))]
     return [Reply(token, failures.NotFound(f"route {name}"))]
@@ -152,7 +152,12 @@
         rank=RANK[told["class"]],
     )
     return router.begin(
-        node.router, now_ms, node.floor, follows.age(node.follow, now_ms), crew(node, now_ms), task
+        node.router,
+        now_ms,
+        node.cluster,
+        follows.age(node.follower, now_ms),
+        crew(node, now_ms),
+        task,
     )
 
 
@@ -187,7 +192,7 @@
     """Answer the reads that a confirmed mark has overtaken."""
     effects = []
     for read in list(node.operator.reads):
-        if node.follow.current_ms >= read.asked_ms:
+        if node.follower.current_ms >= read.asked_ms:
             node.operator.reads.remove(read)
             effects.append(Reply(read.token, _found(node, now_ms, read)))
     return effects
@@ -215,14 +220,14 @@
     if message.shard == LOG_SHARD:
         return _read(node, now_ms, token, {"what": _FLEET}) if _leads(node) else []
     return shard_ownership.command(
-        node.owners,
+        node.ownership,
         now_ms,
         token,
         message.shard,
         message.verb,
         body,
-        node.follow,
-        node.floor,
+        node.follower,
+        node.cluster,
         node.times,
-        node.terms,
+        node.placement_settings,
     )
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -29,9 +29,9 @@
     return (
         not node.closing
         and not node.leaving
-        and bool(registries.services(node.floor.registry))
-        and bool(node.floor.registry.engines)
-        and node.follow.current_ms > -1e11
+        and bool(registries.services(node.cluster.registry))
+        and bool(node.cluster.registry.engines)
+        and node.follower.current_ms > -1e11
     )
 
 
@@ -39,15 +39,15 @@
     """A caller's request has come in; its first step is told to its thread."""
     if node.closing and not told.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
-    if node.follow.current_ms <= -1e11 or not registries.services(node.floor.registry):
+    if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
         return [Reply(token, failures.Stale(int(2 * node.times.elect_ms), 0))]
-    found = routes.match(node.floor.registry, told["host"], told["path"])
-    age_ms = follows.age(node.follow, now_ms)
+    found = routes.match(node.cluster.registry, told["host"], told["path"])
+    age_ms = follows.age(node.follower, now_ms)
     if found is None:
         return [Reply(token, _if_sure(node, age_ms, failures.NotFound("route")))]
     name, route = found
     credential = _credential(told, route)
-    tenant = tenants.identify(node.floor.registry, credential)
+    tenant = tenants.identify(node.cluster.registry, credential)
     if isinstance(tenant, failures.Failure):
         return [Reply(token, _if_sure(node, age_ms, tenant))]
     task = _task(token, told, route, now_ms, credential, tenant)
@@ -117,7 +117,7 @@
     for (service, item), count in node.router.wanted.items():
         _for_shard(node, by, service)["items"][item] = count
     node.router.wanted = {}
-    engines = node.floor.registry.engines
+    engines = node.cluster.registry.engines
     for name, outcome in engine_outcomes.take_untold(node.router, now_ms, engines).items():
         _for_shard(node, by, engines[name]["service"])["outcomes"][name] = outcome
     return [
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -42,7 +42,7 @@
 
 def make(config, random, group):
     """What a fresh node begins with; `group` is a depot's opened replication group."""
-    terms = configs.quotas(config)
+    terms = configs.quota_settings(config)
     number = random.randrange(_FIRST_NUMBERS)
     stands = None
     if group is not None:
@@ -56,7 +56,7 @@
     """A caller's task has come in: it goes on, waits for a token, or gets its final answer."""
     limit = _limit(node, task.tenant)
     task.awaiting_quota = limit is not None
-    effects = router.begin(node.router, now_ms, node.floor, age_ms, crew, task)
+    effects = router.begin(node.router, now_ms, node.cluster, age_ms, crew, task)
     if limit is None or task.token not in node.router.tasks:
         return effects
     _learn_depots(node)
@@ -74,11 +74,11 @@
 
 def _limit(node, name):
     """The limit of a tenant that has one, or None."""
-    facts = registries.tenants(node.floor.registry).get(name)
+    facts = registries.tenants(node.cluster.registry).get(name)
     if facts is None or not facts["ratePerS"] > 0:
         return None
     burst = max(0.0, float(facts["burst"]))
-    return Limit(name, node.floor.registry.stamp, float(facts["ratePerS"]), burst)
+    return Limit(name, node.cluster.registry.stamp, float(facts["ratePerS"]), burst)
 
 
 def _learn_depots(node):
@@ -110,7 +110,7 @@
 
 def _decided(node, now_ms, crew, task, outcome):
     if isinstance(outcome, spending.Granted):
-        return router.admit(node.router, now_ms, node.floor, crew, task)
+        return router.admit(node.router, now_ms, node.cluster, crew, task)
     untold = node.quotas.untold
     untold[task.tenant] = untold.get(task.tenant, 0) + 1
     failure = failures.QuotaExceeded(task.tenant, int(outcome.retry_ms))
@@ -122,7 +122,7 @@
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
     _observe(node, now_ms)
-    share = standings.share(node.quotas.standing, now_ms, follows.age(node.follow, now_ms))
+    share = standings.share(node.quotas.standing, now_ms, follows.age(node.follower, now_ms))
     share = None if node.closing else share
     return [Send(sender, granting.on_ask(node.quotas.granting, now_ms, message, share))]
 
@@ -130,7 +130,7 @@
 def _observe(node, now_ms):
     """The committed membership, of which this node's marks tell how current it is."""
     founders = {member.identity for member in node.depot.group.founders}
-    standings.observe(node.quotas.standing, now_ms, node.follow.state.members, founders)
+    standings.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
 
 
 def on_grant(node, now_ms, sender, message, crew_of):
@@ -171,7 +171,7 @@
 def described(node):
     """By tenant: its limit, what this node got and did, and what it gave as a depot."""
     found = {}
-    for name, facts in sorted(registries.tenants(node.floor.registry).items()):
+    for name, facts in sorted(registries.tenants(node.cluster.registry).items()):
         found[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
         here = node.quotas.spending.tenants.get(name)
         if here is not None:
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -55,9 +55,9 @@
     owners: dict = field(default_factory=dict)
 
 
-def lease_end(follow, times):
+def lease_end(follower, times):
     """When our grants must be taken as ended, on our own clock."""
-    return follow.direct_ms + _ENDS * times.revoke_ms
+    return follower.direct_ms + _ENDS * times.revoke_ms
 
 
 def _notice(ownership, card, book):
@@ -84,27 +84,27 @@
     return effects
 
 
-def tick(ownership, now_ms, card, follow, floor, times, terms, leader, lost):
-    effects = _notice(ownership, card, follow.state)
-    end_ms = lease_end(follow, times)
+def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, lost):
+    effects = _notice(ownership, card, follower.state)
+    end_ms = lease_end(follower, times)
     for kept in ownership.owners.values():
         held = kept.held
         if not held.ready:
             if leader and now_ms - held.asked_ms > times.ping_ms:
                 effects += shard_log.recover(held, now_ms, card, leader)
             continue
-        shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
+        shard_log.resend(held, now_ms, follower.term, 2 * times.ping_ms)
         if kept.shard == 0:
             if now_ms < end_ms and not held.lost:
                 effects += rosters.tick(
-                    kept.roster, now_ms, terms, ownership.provider, f"0|{kept.epoch}"
+                    kept.roster, now_ms, settings, ownership.provider, f"0|{kept.epoch}"
                 )
         else:
             effects += placer.tick(
-                kept, now_ms, floor.registry, ownership.shards, terms, end_ms, lost
+                kept, now_ms, cluster.registry, ownership.shards, settings, end_ms, lost
             )
-        confirmed_at = state_machine.shard_of(follow.state, kept.shard).checkpoint_at
-        effects += _checkpoint(kept, now_ms, card, terms, leader, confirmed_at, times)
+        confirmed_at = state_machine.shard_of(follower.state, kept.shard).checkpoint_at
+        effects += _checkpoint(kept, now_ms, card, settings, leader, confirmed_at, times)
     return effects + flush(ownership, now_ms, card, leader)
 
 
@@ -116,16 +116,16 @@
     return effects
 
 
-def _checkpoint(kept, now_ms, card, terms, leader, confirmed_at, times):
+def _checkpoint(kept, now_ms, card, settings, leader, confirmed_at, times):
     held = kept.held
-    if shard_log.checkpoint_due(held, terms.checkpoint_records):
+    if shard_log.checkpoint_due(held, settings.checkpoint_records):
         body = registries.dump(kept.registry) if kept.shard == 0 else ledgers.dump(kept.ledger)
         shard_log.prepare_checkpoint(held, body)
     retry_ms = times.revoke_ms
     return shard_log.offer_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
 
 
-def on_chunk(ownership, now_ms, sender, message, terms):
+def on_chunk(ownership, now_ms, sender, message, settings):
     """A chunk of a shard that we were given came."""
     kept = ownership.owners.get(message.shard)
     if kept is None:
@@ -137,13 +137,13 @@
         kept.registry = registries.load(kept.held.checkpoint, ownership.zones, ownership.reader)
         registries.replay(kept.registry, kept.held.records)
     else:
-        placer.taken_over(kept, now_ms, terms)
+        placer.taken_over(kept, now_ms, settings)
     kept.held.checkpoint, kept.held.records = b"", []
     facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
     return effects + [Note("recovered", facts, True)]
 
 
-def on_durable(ownership, now_ms, message, follow, floor, times, terms):
+def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
     effects = []
     for place in message.places:
         kept = ownership.owners.get(place.shard)
@@ -154,7 +154,7 @@
                 effects.append(Reply(then[1], then[2]))
             else:
                 effects += placer.on_durable(
-                    kept, now_ms, then, floor.registry, terms, lease_end(follow, times)
+                    kept, now_ms, then, cluster.registry, settings, lease_end(follower, times)
                 )
     return effects
 
@@ -166,17 +166,17 @@
     return []
 
 
-def on_called(ownership, now_ms, called, floor, terms):
+def on_called(ownership, now_ms, called, cluster, settings):
     shard, epoch, id_ = called.id.split("|", 2)
     kept = ownership.owners.get(int(shard))
     if kept is None or kept.epoch != int(epoch):
         return []
     if kept.shard == 0:
-        return _listed(ownership, now_ms, kept, id_, called, terms)
-    return placer.on_called(kept, now_ms, id_, called, floor.registry, ownership.shards, terms)
+        return _listed(ownership, now_ms, kept, id_, called, settings)
+    return placer.on_called(kept, now_ms, id_, called, cluster.registry, ownership.shards, settings)
 
 
-def _listed(ownership, now_ms, kept, id_, called, terms):
+def _listed(ownership, now_ms, kept, id_, called, settings):
     """A page of the platform's list came: what has changed is logged for all."""
     effects, changed = rosters.on_called(
         kept.roster,
@@ -184,7 +184,7 @@
         id_,
         called,
         kept.registry,
-        terms,
+        settings,
         ownership.provider,
         f"0|{kept.epoch}",
     )
@@ -198,18 +198,18 @@
     return effects
 
 
-def command(ownership, now_ms, token, shard, verb, body, follow, floor, times, terms):
+def command(ownership, now_ms, token, shard, verb, body, follower, cluster, times, settings):
     """A command for a shard that this node is thought to hold."""
     kept = ownership.owners.get(shard)
     if (
         kept is None
         or not kept.held.ready
         or kept.held.lost
-        or (now_ms >= lease_end(follow, times))
+        or (now_ms >= lease_end(follower, times))
     ):
         return [Reply(token, failures.NoHolder(1000, shard))]
     if shard != 0:
-        return placer.command(kept, now_ms, token, verb, body, floor.registry, terms)
+        return placer.command(kept, now_ms, token, verb, body, cluster.registry, settings)
     try:
         record, answer, failure = registries.decide(kept.registry, verb, body)
     except Exception as failed:
--- a/libs/simulation/src/simulation/hollow/floor.py
+++ b/libs/simulation/src/simulation/hollow/floor.py
@@ -200,7 +200,7 @@
 def applied(floor, host):
     """After each event: does this node have what it lacked?"""
     for edition in [n for n, names in floor.behind.items() if host.name in names]:
-        if host.node.floor.registry.document["edition"] >= edition:
+        if host.node.cluster.registry.document["edition"] >= edition:
             floor.behind[edition].discard(host.name)
             _settle(floor, edition)
 
--- a/libs/simulation/src/simulation/hollow/run.py
+++ b/libs/simulation/src/simulation/hollow/run.py
@@ -80,9 +80,9 @@
     node = host.node
     if node.depot is not None and node.depot.writer.serving:
         return "log"
-    if 0 in node.owners.owners:
+    if 0 in node.ownership.owners:
         return "list"
-    if settings.shard() in node.owners.owners:
+    if settings.shard() in node.ownership.owners:
         return "holder"
     return host.config.role
 
--- a/libs/simulation/src/simulation/mutants_of_control.py
+++ b/libs/simulation/src/simulation/mutants_of_control.py
@@ -27,7 +27,7 @@
         lambda d: (
             [step(2000, "deaf", "c2", 14000)] + [step(2020 + 40 * i, "race") for i in range(3)]
         ),
-        lambda: [(config, "routing", breaking.stale(config.routing))],
+        lambda: [(config, "routing_settings", breaking.stale(config.routing_settings))],
         seeds=(3, 4, 8),
     ),
     Mutant(
--- a/libs/simulation/src/simulation/register/cluster.py
+++ b/libs/simulation/src/simulation/register/cluster.py
@@ -92,7 +92,7 @@
         found = [
             (owner.epoch, name)
             for name, host in self.world.hosts.items()
-            if host.node and (owner := host.node.owners.owners.get(0)) and owner.held.ready
+            if host.node and (owner := host.node.ownership.owners.get(0)) and owner.held.ready
         ]
         return max(found)[1] if found else None
 
--- a/libs/simulation/src/simulation/restart_cost.py
+++ b/libs/simulation/src/simulation/restart_cost.py
@@ -116,7 +116,7 @@
         return self._answers.pop(token)
 
     def serving(self):
-        owner = self.node.owners.owners.get(0)
+        owner = self.node.ownership.owners.get(0)
         return owner is not None and owner.held.ready
 
     def _handle(self, event):
@@ -141,13 +141,13 @@
 
     def restart(self):
         """Stop, start, and wait until the newest change is known; what it took."""
-        self.until(lambda: self.node.follow.place == self.node.depot.group.commit)
-        edition = self.node.floor.registry.document["edition"]
+        self.until(lambda: self.node.follower.place == self.node.depot.group.commit)
+        edition = self.node.cluster.registry.document["edition"]
         self.stop()
         folder_bytes = sum(p.stat().st_size for p in Path(self._folder).iterdir())
         began_s = time.process_time()
         self.start()
-        self.until(lambda: self.node.floor.registry.document["edition"] == edition)
+        self.until(lambda: self.node.cluster.registry.document["edition"] == edition)
         self.until(self.serving)
         part = self.node.depot.group.state.shards[0]
         return Restart(
--- a/libs/simulation/src/simulation/sim/floor.py
+++ b/libs/simulation/src/simulation/sim/floor.py
@@ -138,7 +138,7 @@
         return
     run, seen, made = pieces.Run(told["id"]), [], []
     state = {"open": True, "pipe": 1}
-    given_ms, stamp = world.now_ms, host.node.floor.registry.stamp
+    given_ms, stamp = world.now_ms, host.node.cluster.registry.stamp
 
     def close(proof, answer=None):
         if state["open"]:
--- a/libs/simulation/src/simulation/sim/operators.py
+++ b/libs/simulation/src/simulation/sim/operators.py
@@ -84,13 +84,15 @@
             worlds.after(
                 self.world, due_ms - self.world.now_ms, lambda: self._look(name, stamp, at_ms)
             )
-        elif host.node is not None and not host.frozen and (host.node.floor.registry.stamp < stamp):
+        elif (
+            host.node is not None and not host.frozen and (host.node.cluster.registry.stamp < stamp)
+        ):
             self.history.wrong.append(
                 {
                     "what": "not-followed",
                     "node": name,
                     "stamp": stamp,
-                    "has": host.node.floor.registry.stamp,
+                    "has": host.node.cluster.registry.stamp,
                     "ackedMs": round(at_ms),
                     "dueMs": round(due_ms),
                 }
@@ -222,12 +224,12 @@
         node = host.node
         if node is None:
             return
-        for shard in [s for s in self.ordering if s in node.owners.owners]:
-            held = node.owners.owners[shard].held
+        for shard in [s for s in self.ordering if s in node.ownership.owners]:
+            held = node.ownership.owners[shard].held
             if any(then[0] == "order" for _, then in held.waiting):
                 self.ordering.pop(shard)(host.name)
                 return
-        key, now = (host.name, host.life), (node.floor.registry.stamp, node.follow.place)
+        key, now = (host.name, host.life), (node.cluster.registry.stamp, node.follower.place)
         last = self.stamps.get(key, (0, 0))
         if now[0] < last[0] or now[1] < last[1]:
             self.history.wrong.append(
@@ -237,10 +239,10 @@
 
     def finish(self):
         self.final_changes = {
-            n: dict(h.node.floor.registry.changes) for n, h in self.world.hosts.items() if h.node
+            n: dict(h.node.cluster.registry.changes) for n, h in self.world.hosts.items() if h.node
         }
         self.final_changes["(log)"] = self._in_log()
-        known = [h.node.floor for h in self.world.hosts.values() if h.node]
+        known = [h.node.cluster for h in self.world.hosts.values() if h.node]
         self.final_registry = known[0].registry if known else None
         self.final_unmet = {
             w: why
--- a/libs/simulation/src/simulation/sim/run.py
+++ b/libs/simulation/src/simulation/sim/run.py
@@ -66,7 +66,7 @@
     def holder(self, shard):
         for host in self.world.hosts.values():
             if host.node and not host.frozen:
-                part = host.node.follow.state.shards.get(shard)
+                part = host.node.follower.state.shards.get(shard)
                 if part and part.holder:
                     return part.holder
         return None
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -69,8 +69,8 @@
         self.node = SimpleNamespace(
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
-            follow=follower.Follow(current_ms=NOW_MS - age_ms),
-            floor=floors.Floor(SHARDS, registry=registry),
+            follower=follower.Follow(current_ms=NOW_MS - age_ms),
+            cluster=floors.Floor(SHARDS, registry=registry),
             router=router.Router(TERMS),
             times=SimpleNamespace(elect_ms=300.0),
         )
@@ -85,13 +85,13 @@
         section = {**written.section(routes, _SERVICES), "tenants": tenants}
         record = {"k": "layout", "partner": written.OWNER, "section": section}
         record["stamp"] = self._stamp
-        registries.apply(self.node.floor.registry, json.dumps(record).encode())
+        registries.apply(self.node.cluster.registry, json.dumps(record).encode())
         return self._wake()
 
     def load(self, loaded):
         """The engines have the model, or none has it."""
-        ledger = floors.ledger_of(self.node.floor, world.shard_of("s", SHARDS))
-        for engine in self.node.floor.registry.engines:
+        ledger = floors.ledger_of(self.node.cluster, world.shard_of("s", SHARDS))
+        for engine in self.node.cluster.registry.engines:
             verb = "load" if loaded else "unload"
             record = ledgers.order_record(engine, MODEL, verb, f"o{engine}", 1.0, 0, "s")
             ledgers.apply(ledger, record)
@@ -101,7 +101,7 @@
 
     def _wake(self):
         node = self.node
-        return _outcomes(router.wake(node.router, self.now_ms, node.floor, 0.0, CREW))
+        return _outcomes(router.wake(node.router, self.now_ms, node.cluster, 0.0, CREW))
 
     def send(self, token, key, prefix=CLOSED):
         """A request comes in with a key, as bytes."""
@@ -122,13 +122,13 @@
     def fails(self, token, proof):
         """An attempt of a request ended without an answer."""
         node = self.node
-        effects = router.ended(node.router, self.now_ms, node.floor, 0.0, CREW, token, proof)
+        effects = router.ended(node.router, self.now_ms, node.cluster, 0.0, CREW, token, proof)
         return _outcomes(effects)
 
     def silent(self, token):
         """An attempt of a request has had no answer for long."""
         node = self.node
-        return _outcomes(router.silent(node.router, self.now_ms, node.floor, 0.0, CREW, token))
+        return _outcomes(router.silent(node.router, self.now_ms, node.cluster, 0.0, CREW, token))
 
     def task(self, token):
         return self.node.router.tasks[token]
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -78,14 +78,14 @@
         self.process = Process(config.check(told), DIALECT)
         node = self.process._node
         section = passages.section(routes(), {"s": {"kind": "plain", **WARM}})
-        node.floor.registry = Registry(
+        node.cluster.registry = Registry(
             sections={"floor": section},
             engines={
                 name: engine_facts(name, "s", url=f"http://{door.engine.address}")
                 for name, door in self.doors.items()
             },
         )
-        node.follow.current_ms = float("inf")
+        node.follower.current_ms = float("inf")
         node.router.terms = dataclasses.replace(node.router.terms, pauseMs=PAUSE_MS)
         self.process.start()
         self.gateway = Gateway(self.process)
--- a/tests/test_lease_lost.py
+++ b/tests/test_lease_lost.py
@@ -84,7 +84,7 @@
     def lost(self):
         """Nodes that hold shard 0 by the log and take no command for it."""
         holder = self.run.holder(0)
-        owner = self.host(holder).node.owners.owners.get(0)
+        owner = self.host(holder).node.ownership.owners.get(0)
         return owner is None or owner.held.lost
 
 
@@ -95,7 +95,7 @@
             scene = Scene(seed)
             scene.silence_holder()
             scene.spin(300.0)
-            owner = scene.host(scene.holder).node.owners.owners.get(0)
+            owner = scene.host(scene.holder).node.ownership.owners.get(0)
             refused += owner is not None and owner.held.lost
             scene.spin(SETTLED_MS)
             told = scene.change()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -179,8 +179,8 @@
     worlds.spin(made.world, made.world.now_ms + 1500.0)
     assert host.node is not None and made.leader() is not None
     now_ms = worlds.local(made.world, host)
-    assert follower.age(host.node.follow, now_ms) < 1000.0, "it still follows the feed"
-    assert not any(part.holder == leaver for part in host.node.follow.state.shards.values())
+    assert follower.age(host.node.follower, now_ms) < 1000.0, "it still follows the feed"
+    assert not any(part.holder == leaver for part in host.node.follower.state.shards.values())
     worlds.boot(made.world, made.world.hosts[down])
     ended = spin_until(made, lambda: host.node is None, 2000.0)
     assert ended is not None
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -54,7 +54,7 @@
         self.counters = sorted(n for n in self.world.hosts if n[0] == "c")
         self.depots = sorted(n for n in self.world.hosts if n[0] == "d")
         for name in self.counters:
-            registry = self.node(name).floor.registry
+            registry = self.node(name).cluster.registry
             registry.sections["quotas"] = SECTION
             registry.engines["q0"] = engine_facts("q0", "plain", slots=10**9)
             registry.memo.clear()
@@ -133,7 +133,7 @@
         self.assertThat(self.node("c0").quotas.spending.sent, Equals({}))
 
     def test_what_is_tried_again_takes_no_other_token(self):
-        registry = self.node("c0").floor.registry
+        registry = self.node("c0").cluster.registry
         registry.engines["q1"] = engine_facts("q1", "plain", slots=10**9)
         token = self.ask("c0")
         self.spin(20)
@@ -195,8 +195,8 @@
         runs = sum(request.outcome == "run" for request in self.requests)
         self.assertThat(sum(t["spent"] for t in told), Equals(runs))
         for name in self.depots:
-            self.node(name).floor.registry.sections["quotas"] = SECTION
-            self.node(name).floor.registry.memo.clear()
+            self.node(name).cluster.registry.sections["quotas"] = SECTION
+            self.node(name).cluster.registry.memo.clear()
         depots = [quota_requests.described(self.node(n))[LIMITED] for n in self.depots]
         self.assertThat(sum(d["depot"]["given"] for d in depots), GreaterThan(runs - 1))
         notes = [
--- a/tests/test_register_duplicates.py
+++ b/tests/test_register_duplicates.py
@@ -67,10 +67,12 @@
         """Many changes, so that checkpoints replace the records."""
         self.begin(1)
         for host in self.cluster.world.hosts.values():
-            host.node.terms = dataclasses.replace(host.node.terms, checkpoint_records=20)
+            host.node.placement_settings = dataclasses.replace(
+                host.node.placement_settings, checkpoint_records=20
+            )
         self.lose_the_answer({"edition": 4, "upsert": {}, "remove": {}}, 3, "PATCH")
         edition = self.changes(150, 4)
-        holder = self.cluster.world.hosts[self.cluster.holder()].node.owners.owners[0]
+        holder = self.cluster.world.hosts[self.cluster.holder()].node.ownership.owners[0]
         self.assertTrue(holder.held.checkpoint_at > 0)
         self.assertThat(
             self.put({"edition": 4, "upsert": {}, "remove": {}}, 3, "PATCH"), Equals(200)
--- a/tests/test_restart_cost.py
+++ b/tests/test_restart_cost.py
@@ -58,9 +58,9 @@
         for edition in range(2, CHANGES + 2):
             self.edit(edition)
         self.read = 0
-        before = self.depot.node.floor.registry
+        before = self.depot.node.cluster.registry
         restart = self.depot.restart()
-        self.assertThat(self.depot.node.floor.registry.sections, Equals(before.sections))
+        self.assertThat(self.depot.node.cluster.registry.sections, Equals(before.sections))
         self.assertThat(restart.records, LessThan(CHANGES + 3))
         self.assertThat(self.read, LessThan(4 * (ROUTES + 2 * CHANGES)))
         self.assertThat(restart.folder_bytes, LessThan(24 << 20))
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -24,8 +24,8 @@
     return SimpleNamespace(
         closing=False,
         config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=10 * STALE_MS)),
-        follow=follower.Follow(current_ms=NOW_MS - age_ms),
-        floor=floors.Floor(4, registry=registry),
+        follower=follower.Follow(current_ms=NOW_MS - age_ms),
+        cluster=floors.Floor(4, registry=registry),
         router=router.Router(terms),
         times=SimpleNamespace(elect_ms=300.0),
     )
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -194,7 +194,7 @@
             node.send("t", b"k1")
             node.configure(tenants_after)
             core = node.node
-            (reply,) = resuming.resume(core.router, NOW_MS, core.floor, CREW, "t", "")
+            (reply,) = resuming.resume(core.router, NOW_MS, core.cluster, CREW, "t", "")
             self.assertIsInstance(reply.outcome, kind)
             self.assertThat(getattr(reply.outcome, "tenant", None), Equals({Leg: "b"}.get(kind)))
 
@@ -218,12 +218,12 @@
     def test_operators_read_fingerprints(self):
         node = TenantNode({"a": tenant("secret-key"), "b": tenant()}).node
         node.card, node.config.shards = None, SHARDS
-        node.follow.place = 1
+        node.follower.place = 1
         for what in ("layout", "engines", "zones", "why", "holds"):
             found = json.dumps(introspection.read(node, NOW_MS, {"what": what}))
             self.assertThat("secret" in found, Equals(False), what)
         section = introspection.read(node, NOW_MS, {"what": "layout"})["partners"]["floor"]
         shown = [tenants.fingerprint(tenants.digest(b"secret-key"))]
         self.assertThat(section["section"]["tenants"]["a"]["keys"], Equals(shown))
-        kept = registries.tenants(node.floor.registry)["a"]["keys"]
+        kept = registries.tenants(node.cluster.registry)["a"]["keys"]
         self.assertThat(kept, Equals(["secret-key"]))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -26,7 +26,7 @@
             floor.caller(made.world, made.history, host, told)
         worlds.spin(made.world, 45000)
         self.assertThat(len(made.history.ended), Equals(count))
-        holds = [h for x in made.world.hosts["c0"].node.floor.ledgers.values() for h in x.holds]
+        holds = [h for x in made.world.hosts["c0"].node.cluster.ledgers.values() for h in x.holds]
         self.assertThat(holds, Equals([]), "nobody is left in line")
         return made.history.ended
 
