--- a/libs/pulleyhitch/src/pulleyhitch/admission.py
+++ b/libs/pulleyhitch/src/pulleyhitch/admission.py
@@ -16,45 +16,45 @@
 from pulleyhitch import request_framing
 
 __all__ = [
-    "parts",
-    "measured",
+    "thread_shares",
+    "parse_first_request",
     "PLATFORM_POLICY",
     "PRODUCT_POLICY",
     "RequestPolicy",
     "BODY_LIMIT_BYTES",
-    "kind",
-    "answer",
-    "reject",
-    "shut",
+    "classify",
+    "send_failure",
+    "send_malformed",
+    "close_connection",
     "peek",
-    "MAY_USE",
-    "ORDER",
-    "PATIENCE_S",
+    "USABLE_SHARES",
+    "PRIORITIES",
+    "RETRY_AFTER_S",
 ]
 
 BODY_LIMIT_BYTES = 8 << 20
 _TASK_START = b"POST /v1/"
 _SHARES = {"operator": 0.0625, "lookup": 0.25, "rank0": 0.375, "rank1": 0.1875, "rank2": 0.125}
-MAY_USE = {
+USABLE_SHARES = {
     "operator": ("operator",),
     "lookup": ("lookup", "rank2", "rank1"),
     "rank0": ("rank0", "rank2", "rank1"),
     "rank1": ("rank1", "rank2"),
     "rank2": ("rank2",),
 }
-ORDER = {"operator": 0, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 3}
-PATIENCE_S = {"operator": 1, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 5}
+PRIORITIES = {"operator": 0, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 3}
+RETRY_AFTER_S = {"operator": 1, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 5}
 _CLASS = re.compile(rb'"class"\s*:\s*"([a-z]{1,16})"')
 _ROUTE = re.compile(rb"^POST /v1/route/([^ /?]{1,80})")
 
 
-def parts(threads):
+def thread_shares(threads):
     return {name: max(1, int(share * threads)) for name, share in _SHARES.items()}
 
 
-def measured(data, body_limit_bytes=BODY_LIMIT_BYTES):
+def parse_first_request(data, body_limit_bytes=BODY_LIMIT_BYTES):
     """The first request in what a connection has sent."""
-    return request_framing.measure(data, body_limit_bytes)
+    return request_framing.parse_request(data, body_limit_bytes)
 
 
 @dataclass(frozen=True)
@@ -78,7 +78,7 @@
 PRODUCT_POLICY = RequestPolicy(_task_limit, HTTPStatus.BAD_REQUEST)
 
 
-def kind(data, rank_of):
+def classify(data, rank_of):
     """operator, lookup or the rank of a task's class; `rank_of` knows routes."""
     line = bytes(data[:200])
     if b" /operator/" in line:
@@ -92,15 +92,15 @@
     return f"rank{RANK.get(told[1].decode(), 1) if told else 1}"
 
 
-def reject(sock, malformed):
+def send_malformed(sock, malformed):
     """What no request may look like is told so."""
     failure = failures.BodyMalformed(malformed.cause)
     if malformed.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
         failure = failures.BodyOversized(malformed.limit_bytes)
-    answer(sock, malformed.status, failure)
+    send_failure(sock, malformed.status, failure)
 
 
-def answer(sock, status, failure, retry_s=None):
+def send_failure(sock, status, failure, retry_s=None):
     """A short answer from the door itself, without waiting for anybody."""
     again = f"Retry-After: {retry_s}\r\n" if retry_s else ""
     words = HTTPStatus(status).phrase
@@ -116,7 +116,7 @@
         pass
 
 
-def shut(sock):
+def close_connection(sock):
     """Close so that what was answered arrives, even if not all was read."""
     try:
         sock.setblocking(False)
--- a/libs/pulleyhitch/src/pulleyhitch/caller.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
@@ -3,11 +3,11 @@
 import socket
 from dataclasses import dataclass, field
 
-__all__ = ["Caller"]
+__all__ = ["CallerConnection"]
 
 
 @dataclass
-class Caller:
+class CallerConnection:
     """One connection: what came of its request, and what it waits for."""
 
     sock: socket.socket
@@ -15,8 +15,8 @@
     since_s: float
     data: bytearray = field(default_factory=bytearray)
     request: object = None
-    kind: str = ""
-    part: str = ""
+    request_class: str = ""
+    thread_share: str = ""
     finish: object = None
-    left: object = None
-    watched: bool = False
+    on_disconnect: object = None
+    registered: bool = False
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_requests.py
@@ -17,11 +17,11 @@
 
 from pulleyhitch import quota_requests
 
-__all__ = ["begin", "ready", "tell_wanted"]
+__all__ = ["begin", "ready", "report_demand"]
 
-_OPENING = 2
+_OPENING_PARTS = 2
 # The class of routes that tell none.
-_RANK = 5
+_DEFAULT_RANK = 5
 
 
 def ready(node, now_ms):
@@ -35,23 +35,23 @@
     )
 
 
-def begin(node, now_ms, token, told, crew):
+def begin(node, now_ms, token, facts, peers):
     """A caller's request has come in; its first step is told to its thread."""
-    if node.closing and not told.get("accepted"):
+    if node.closing and not facts.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
     if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
         return [Reply(token, failures.Stale(int(2 * node.times.elect_ms), 0))]
-    found = routes.match(node.cluster.registry, told["host"], told["path"])
+    matched = routes.match(node.cluster.registry, facts["host"], facts["path"])
     age_ms = follows.age(node.follower, now_ms)
-    if found is None:
-        return [Reply(token, _if_sure(node, age_ms, failures.NotFound("route")))]
-    name, route = found
-    credential = _credential(told, route)
+    if matched is None:
+        return [Reply(token, _unless_stale(node, age_ms, failures.NotFound("route")))]
+    name, route = matched
+    credential = _credential(facts, route)
     tenant = tenants.identify(node.cluster.registry, credential)
     if isinstance(tenant, failures.Failure):
-        return [Reply(token, _if_sure(node, age_ms, tenant))]
-    task = _task(token, told, route, now_ms, credential, tenant)
-    told.update(
+        return [Reply(token, _unless_stale(node, age_ms, tenant))]
+    task = _task(token, facts, route, now_ms, credential, tenant)
+    facts.update(
         route=name,
         tenant=tenant.name,
         kind=route["kind"],
@@ -60,16 +60,16 @@
         rank=task.rank,
         aimMs=task.aimMs,
     )
-    return quota_requests.begin(node, now_ms, age_ms, crew, task)
+    return quota_requests.begin(node, now_ms, age_ms, peers, task)
 
 
-def _credential(told, route):
+def _credential(facts, route):
     """What a request shows of its sender; its key itself is kept no longer."""
-    key = told.pop("key", b"")
+    key = facts.pop("key", b"")
     return tenants.Credential(tenants.digest(key), route.get("public", False))
 
 
-def _if_sure(node, age_ms, failure):
+def _unless_stale(node, age_ms, failure):
     """Only a node that is sure of the configuration says that there is no such route, or that
     a key is nobody's: another may know a newer one that has it."""
     bound_ms = min(node.router.terms.staleMs, node.config.bounds.layoutMs)
@@ -78,26 +78,26 @@
     return failure
 
 
-def _task(token, told, route, now_ms, credential, tenant):
+def _task(token, facts, route, now_ms, credential, tenant):
     stream = route["kind"] == "stream"
-    rank = route.get("rank", _RANK)
+    rank = route.get("rank", _DEFAULT_RANK)
     repeatable = route["kind"] == "safe" or (stream and route.get("resumable", False))
-    holdMs = min(told["deadlineMs"], route["holdMs"])
+    holdMs = min(facts["deadlineMs"], route["holdMs"])
     return router.Task(
         token,
-        f"{token}.{told['id']}"[:80],
-        routes.service_for(route, told["id"]),
-        told["model"],
-        told["adapter"],
+        f"{token}.{facts['id']}"[:80],
+        routes.service_for(route, facts["id"]),
+        facts["model"],
+        facts["adapter"],
         f"rank{rank}",
-        "|".join(told["opening"][:_OPENING]),
+        "|".join(facts["opening"][:_OPENING_PARTS]),
         repeatable,
         stream,
         now_ms + holdMs,
         rank=rank,
         aimMs=route["aimMs"],
         tries=route.get("tries", 1),
-        tokens=told["tokens"],
+        tokens=facts["tokens"],
         told=True,
         patience_ms=route.get("patienceMs") or float("inf"),
         credential=credential,
@@ -106,28 +106,28 @@
     )
 
 
-def tell_wanted(node, now_ms, holder_address):
+def report_demand(node, now_ms, holder_address):
     """Tell the placers, in few bytes, what callers have been asking for, and which engines
     answered them badly."""
-    untold = node.router.wanted or node.router.untold_ends
-    if not untold or now_ms - node.operator.told_ms < 2 * node.times.ping_ms:
+    unreported = node.router.wanted or node.router.untold_ends
+    if not unreported or now_ms - node.operator.demand_reported_ms < 2 * node.times.ping_ms:
         return []
-    node.operator.told_ms = now_ms
-    by = {}
+    node.operator.demand_reported_ms = now_ms
+    reports = {}
     for (service, item), count in node.router.wanted.items():
-        _for_shard(node, by, service)["items"][item] = count
+        _for_shard(node, reports, service)["items"][item] = count
     node.router.wanted = {}
     engines = node.cluster.registry.engines
     for name, outcome in engine_outcomes.take_untold(node.router, now_ms, engines).items():
-        _for_shard(node, by, engines[name]["service"])["outcomes"][name] = outcome
+        _for_shard(node, reports, engines[name]["service"])["outcomes"][name] = outcome
     return [
-        Send(to, Command("", shard, "", "wanted", json.dumps(told).encode()))
-        for shard, told in by.items()
+        Send(to, Command("", shard, "", "wanted", json.dumps(report).encode()))
+        for shard, report in reports.items()
         if (to := holder_address(node, shard))
     ]
 
 
-def _for_shard(node, by, service):
+def _for_shard(node, reports, service):
     """What is told the holder of a service's shard."""
     shard = world.shard_of(service, node.config.shards)
-    return by.setdefault(shard, {"items": {}, "outcomes": {}})
+    return reports.setdefault(shard, {"items": {}, "outcomes": {}})
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -16,31 +16,31 @@
 from transport.messages import Command, CommandAnswer
 
 __all__ = [
-    "Answered",
+    "CommandResult",
     "LOG_SHARD",
-    "answer_by",
-    "forget",
+    "answer_deadline",
+    "cancel",
     "holder_address",
     "on_answer",
-    "out_of_touch",
-    "send",
+    "is_isolated",
+    "forward",
     "tick",
     "translate",
 ]
 
 LOG_SHARD = -1
-_CHANGES = ("layout", "zone", "engines", "written")
+_CHANGE_VERBS = ("layout", "zone", "engines", "written")
 # What a holder says that hasn't decided: the command is offered again.
-_UNDECIDED = ("no-holder", "edition-ahead")
+_RETRIED_FAILURES = ("no-holder", "edition-ahead")
 # Of the time in which service must be back: how long a command may go without a holder.
-_LONGEST = 0.75
+_SERVICE_BACK_SHARE = 0.75
 # Of an operator's wait: how long a change may wait for the edition that it builds on.
-_MAY_WAIT = 0.5
-_NEVER_MS = -1e11
+_EDITION_WAIT_SHARE = 0.5
+_NO_CONTACT_MS = -1e11
 
 
 @dataclass(frozen=True)
-class Answered:
+class CommandResult:
     """A holder's answer to a command."""
 
     status: int
@@ -55,36 +55,44 @@
     shard: int
     verb: str
     body: dict
-    end_ms: float
-    final_ms: float = 0.0
+    deadline_ms: float
+    edition_wait_end_ms: float = 0.0
     sent_ms: float = -1e12
 
 
-def out_of_touch(node, now_ms):
+def is_isolated(node, now_ms):
     """Whether no majority has confirmed anything to this node for longer than a change of
     leaders takes.  One that has only just started can't tell yet."""
     longest_ms = 2 * (node.times.elect_ms + node.times.ping_ms)
-    return node.follower.current_ms > _NEVER_MS and follows.age(node.follower, now_ms) > longest_ms
+    return (
+        node.follower.current_ms > _NO_CONTACT_MS
+        and follows.age(node.follower, now_ms) > longest_ms
+    )
 
 
-def answer_by(node, now_ms):
+def answer_deadline(node, now_ms):
     """When an operator who asks now must have an answer, clear or not."""
     bounds = node.config.bounds
-    wait_ms = min(_LONGEST * bounds.serviceBackMs, bounds.acknowledgeMs)
+    wait_ms = min(_SERVICE_BACK_SHARE * bounds.serviceBackMs, bounds.acknowledgeMs)
     if bounds.answerMs:
         wait_ms = min(wait_ms, bounds.answerMs)
-    if out_of_touch(node, now_ms):
+    if is_isolated(node, now_ms):
         wait_ms = min(wait_ms, node.times.ping_ms)
     return now_ms + wait_ms
 
 
-def send(node, now_ms, token, shard, verb, body):
+def forward(node, now_ms, token, shard, verb, body):
     """Offer an operator's command to the holder of its shard."""
     id_ = _next_id(node)
-    end_ms = answer_by(node, now_ms)
-    final_ms = now_ms + _MAY_WAIT * (end_ms - now_ms)
-    body = _identified(node, verb, body, id_)
-    return _begin(node, now_ms, id_, PendingCommand(token, shard, verb, body, end_ms, final_ms))
+    deadline_ms = answer_deadline(node, now_ms)
+    edition_wait_end_ms = now_ms + _EDITION_WAIT_SHARE * (deadline_ms - now_ms)
+    body = _with_change_id(node, verb, body, id_)
+    return _add_pending(
+        node,
+        now_ms,
+        id_,
+        PendingCommand(token, shard, verb, body, deadline_ms, edition_wait_end_ms),
+    )
 
 
 def _next_id(node):
@@ -92,10 +100,10 @@
     return f"{node.card.incarnation}.{node.operator.count}"
 
 
-def _identified(node, verb, body, id_):
+def _with_change_id(node, verb, body, id_):
     """A change has an id.  One for a zone that has none of its operator's goes with the
     zone's state here, so that a copy that comes late, after others, changes nothing."""
-    if verb not in _CHANGES or body.get("change"):
+    if verb not in _CHANGE_VERBS or body.get("change"):
         return body
     body = {**body, "change": id_}
     zone = body.get("zone")
@@ -104,20 +112,20 @@
     return body
 
 
-def _begin(node, now_ms, id_, pending):
+def _add_pending(node, now_ms, id_, pending):
     node.operator.pending[id_] = pending
-    return _offer(node, now_ms, pending, id_)
+    return _send_to_holder(node, now_ms, pending, id_)
 
 
-def _offer(node, now_ms, pending, id_):
+def _send_to_holder(node, now_ms, pending, id_):
     to = holder_address(node, pending.shard)
     if not to:
         return []
     pending.sent_ms = now_ms
-    told = pending.body
-    if pending.verb == "written" and now_ms < pending.final_ms:
-        told = {**told, "may_wait": True}
-    body = json.dumps(told).encode()
+    body_sent = pending.body
+    if pending.verb == "written" and now_ms < pending.edition_wait_end_ms:
+        body_sent = {**body_sent, "may_wait": True}
+    body = json.dumps(body_sent).encode()
     return [Send(to, Command(id_, pending.shard, node.card.address, pending.verb, body))]
 
 
@@ -138,15 +146,15 @@
     """Offer again what has no answer yet; end what has waited long enough."""
     effects = []
     for id_, pending in list(node.operator.pending.items()):
-        if now_ms >= pending.end_ms:
+        if now_ms >= pending.deadline_ms:
             del node.operator.pending[id_]
             effects += _finish(node, now_ms, pending, failures.NoHolder(1000, pending.shard))
         elif now_ms - pending.sent_ms > node.times.ping_ms:
-            effects += _offer(node, now_ms, pending, id_)
+            effects += _send_to_holder(node, now_ms, pending, id_)
     return effects
 
 
-def forget(node, token):
+def cancel(node, token):
     """The asker has left: its command isn't offered any more."""
     for id_, pending in list(node.operator.pending.items()):
         if pending.token == token:
@@ -159,49 +167,49 @@
     if pending is None:
         return []
     body = json.loads(message.body)
-    if body.get("failure") in _UNDECIDED:
+    if body.get("failure") in _RETRIED_FAILURES:
         return []
     del node.operator.pending[message.id]
-    if pending.verb == "zone" and _overtaken(pending, body):
-        return _again(node, now_ms, pending, body["current"])
-    return _finish(node, now_ms, pending, Answered(message.status, body))
+    if pending.verb == "zone" and _is_stale_here(pending, body):
+        return _retry_on_current(node, now_ms, pending, body["current"])
+    return _finish(node, now_ms, pending, CommandResult(message.status, body))
 
 
-def _overtaken(pending, body):
+def _is_stale_here(pending, body):
     """Whether an order for a zone was turned away only because this node was behind."""
     return body.get("failure") == "stamp-stale" and body.get("expected") == pending.body.get(
         "since"
     )
 
 
-def _again(node, now_ms, pending, since):
+def _retry_on_current(node, now_ms, pending, since):
     """The same order on top of the zone's present state, if its operator still waits."""
     id_ = _next_id(node)
     pending.body = {**pending.body, "change": id_, "since": since}
-    return _begin(node, now_ms, id_, pending)
+    return _add_pending(node, now_ms, id_, pending)
 
 
 def _finish(node, now_ms, pending, outcome):
     if pending.verb != "hold":
         return [Reply(pending.token, outcome)] if pending.token else []
-    if isinstance(outcome, Answered) and outcome.status != 200:
+    if isinstance(outcome, CommandResult) and outcome.status != 200:
         outcome = failures.NoRoom(
             int(outcome.body.get("retryMs", 3000)),
             pending.body["model"],
             str(outcome.body.get("cause", "waitlist")),
         )
-    elif isinstance(outcome, Answered):
+    elif isinstance(outcome, CommandResult):
         outcome = outcome.body
     return router.held(node.router, now_ms, pending.body["id"], outcome)
 
 
 def translate(node, now_ms, effects):
     """Turn holds into commands and answers to commands into messages."""
-    out, queue = [], list(effects)
-    while queue:
-        effect = queue.pop(0)
+    out, remaining = [], list(effects)
+    while remaining:
+        effect = remaining.pop(0)
         if isinstance(effect, tasks.Hold):
-            queue = _hold(node, now_ms, effect) + queue
+            remaining = _hold(node, now_ms, effect) + remaining
         elif isinstance(effect, Reply) and effect.token.startswith("cmd|"):
             out.append(_command_answer(effect))
         else:
@@ -216,9 +224,9 @@
         shard = world.shard_of(effect.body["service"], node.config.shards)
     body = {**effect.body, "node": node.card.name, "life": node.card.incarnation}
     bounds = node.config.bounds
-    end_ms = now_ms + min(_LONGEST * bounds.serviceBackMs, bounds.acknowledgeMs)
-    pending = PendingCommand("", shard, effect.verb, body, end_ms)
-    return _begin(node, now_ms, f"{effect.verb}.{effect.body['id']}", pending)
+    deadline_ms = now_ms + min(_SERVICE_BACK_SHARE * bounds.serviceBackMs, bounds.acknowledgeMs)
+    pending = PendingCommand("", shard, effect.verb, body, deadline_ms)
+    return _add_pending(node, now_ms, f"{effect.verb}.{effect.body['id']}", pending)
 
 
 def _command_answer(effect):
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -17,15 +17,15 @@
 from werkzeug.wrappers import Request, Response
 
 from pulleyhitch import admission
-from pulleyhitch.command_forwarding import Answered
-from pulleyhitch.http_handler import Front, Handler
-from pulleyhitch.listener import Door
+from pulleyhitch.command_forwarding import CommandResult
+from pulleyhitch.http_handler import RequestHandler, ServerContext
+from pulleyhitch.listener import Listener
 
-__all__ = ["Gateway", "OperatorGateway", "Status"]
+__all__ = ["Gateway", "OperatorGateway", "StatusEndpoint"]
 
-_STEP = "pulleyhitch.step"
+_STEP_KEY = "pulleyhitch.step"
 # How long a thread waits for an answer before it lets the caller wait alone.
-_FIRST_LOOK_S = 0.005
+_FIRST_WAIT_S = 0.005
 
 
 def _split(address):
@@ -33,8 +33,8 @@
     return host, int(port)
 
 
-def _front(process, address, app):
-    return Front(
+def _server_context(process, address, app):
+    return ServerContext(
         _split(address),
         app,
         lambda *what: process.ring.note("http", {"what": str(what)[:2000]}, why="http"),
@@ -47,10 +47,10 @@
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
-        self._relaying = Relaying(process.ask, process.pool, process.dialect, 500)
-        self._front = _front(process, config.doors["callers"], self._app)
+        self._relaying = Relaying(process.request, process.pool, process.dialect, 500)
+        self._server_context = _server_context(process, config.doors["callers"], self._app)
         back_s = config.bounds.serviceBackMs / 1000
-        self._door = Door(
+        self._listener = Listener(
             *_split(config.doors["callers"]),
             config.httpThreads,
             self._begin,
@@ -60,53 +60,53 @@
         )
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def stop(self):
-        self._door.stop()
+        self._listener.stop()
 
     def empty(self):
-        return self._door.empty()
+        return self._listener.empty()
 
     def _begin(self, caller):
         """First look at a request: answer it, or find that its task must wait.  Nothing is
         sent to an engine for a caller that has left by now, as many have when this node
         wakes from a freeze: it may have sent its request again under another id."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole or hung_up(caller.sock):
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed or hung_up(caller.sock):
             return None
-        request = Request(handler.told)
-        told = self._dialect.read_caller(request, handler.target)
-        if isinstance(told, failures.Failure):
-            handler.told[_STEP] = ("", {}, told)
+        request = Request(handler.wsgi_environ)
+        facts = self._dialect.read_caller(request, handler.target)
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ[_STEP_KEY] = ("", {}, facts)
             handler.run_wsgi()
             return None
         token = secrets.token_hex(8)
-        future = self._process.post(token, "passage", told)
+        future = self._process.submit(token, "passage", facts)
         try:
-            future.exception(_FIRST_LOOK_S)
+            future.exception(_FIRST_WAIT_S)
         except TimeoutError:
             pass
 
         def finish(step):
-            handler.told[_STEP] = (token, told, step)
+            handler.wsgi_environ[_STEP_KEY] = (token, facts, step)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "ended", {"proof": "gone"})
+        def on_disconnect():
+            self._process.notify(token, "ended", {"proof": "gone"})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        token, told, step = environ[_STEP]
+        token, facts, step = environ[_STEP_KEY]
         if isinstance(step, failures.Failure):
             status, headers, body = self._dialect.refusal(step)
             response = Response(body, status, headers)
         else:
-            response = self._relaying.serve(token, told, step, environ)
+            response = self._relaying.serve(token, facts, step, environ)
         return answers.given(response, environ, start_response)
 
 
@@ -116,9 +116,9 @@
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
-        self._front = _front(process, config.doors["operators"], self._app)
+        self._server_context = _server_context(process, config.doors["operators"], self._app)
         back_s = config.bounds.serviceBackMs / 1000
-        self._door = Door(
+        self._listener = Listener(
             *_split(config.doors["operators"]),
             config.httpThreads,
             self._begin,
@@ -127,66 +127,68 @@
         )
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def _begin(self, caller):
         """First look at a call: answer it, or find that it must wait.  Nothing is done for
         an operator who has left by now and has perhaps asked another node since."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole:
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed:
             return None
-        told = self._dialect.read_operator(Request(handler.told))
-        if isinstance(told, failures.Failure):
-            handler.told[_STEP] = ("", told)
+        facts = self._dialect.read_operator(Request(handler.wsgi_environ))
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ[_STEP_KEY] = ("", facts)
             handler.run_wsgi()
             return None
         if admission.peek(caller.sock) == b"":
             return None
-        verb, body = told
+        verb, body = facts
         token = secrets.token_hex(8)
-        future = self._process.post(token, verb, body)
+        future = self._process.submit(token, verb, body)
         try:
-            future.exception(_FIRST_LOOK_S)
+            future.exception(_FIRST_WAIT_S)
         except TimeoutError:
             pass
 
         def finish(outcome):
-            handler.told[_STEP] = (verb, outcome)
+            handler.wsgi_environ[_STEP_KEY] = (verb, outcome)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "abandoned", {})
+        def on_disconnect():
+            self._process.notify(token, "abandoned", {})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        verb, outcome = environ[_STEP]
+        verb, outcome = environ[_STEP_KEY]
         status, headers, body = self._dialect.operator_answer(verb, outcome)
         return Response(body, status, headers)(environ, start_response)
 
 
-class Status:
+class StatusEndpoint:
     """Answers 200 while callers may come; `run` serves until the process stops."""
 
     def __init__(self, process):
         self._process = process
         host, port = _split(process.config.doors["status"])
-        self._http = make_server(host, port, self._app, threaded=False, request_handler=_Quiet)
+        self._http = make_server(
+            host, port, self._app, threaded=False, request_handler=_SilentRequestHandler
+        )
 
     def run(self):
         threading.current_thread().name = "status"
         self._http.serve_forever(poll_interval=1.0)
 
     def _app(self, environ, start_response):
-        found = self._process.ask(secrets.token_hex(8), "ready", {}, 0.5)
-        code = found.status if isinstance(found, Answered) else 503
+        found = self._process.request(secrets.token_hex(8), "ready", {}, 0.5)
+        code = found.status if isinstance(found, CommandResult) else 503
         return Response(b"", code)(environ, start_response)
 
 
-class _Quiet(WSGIRequestHandler):
+class _SilentRequestHandler(WSGIRequestHandler):
     """Says nothing of each request."""
 
     def log(self, type, message, *args):
--- a/libs/pulleyhitch/src/pulleyhitch/http_handler.py
+++ b/libs/pulleyhitch/src/pulleyhitch/http_handler.py
@@ -9,7 +9,7 @@
 
 from werkzeug.serving import WSGIRequestHandler
 
-__all__ = ["Handler", "Front", "REPEATED_FIELDS"]
+__all__ = ["RequestHandler", "ServerContext", "REPEATED_FIELDS"]
 
 # Where the environment tells which header fields stand more than once, in small letters:
 # their values are joined by commas there, and look like one.
@@ -18,44 +18,44 @@
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
-class _Out(io.RawIOBase):
+class _SocketWriter(io.RawIOBase):
     """What werkzeug writes to: the socket, whole or with an error."""
 
     def __init__(self, sock):
-        self._sock, self._held = sock, []
+        self._sock, self._buffer = sock, []
 
     def writable(self):
         return True
 
     def write(self, data):
-        self._held.append(bytes(data))
+        self._buffer.append(bytes(data))
         if data == _LAST_CHUNK:
             self.flush()
         return len(data)
 
     def flush(self):
-        held, self._held = b"".join(self._held), []
-        if held:
-            self._sock.sendall(held)
+        data, self._buffer = b"".join(self._buffer), []
+        if data:
+            self._sock.sendall(data)
 
 
-class Handler(WSGIRequestHandler):
+class RequestHandler(WSGIRequestHandler):
     """A request that the door has read already, answered when its time comes.
     `target` is the request's own, byte for byte."""
 
     protocol_version = "HTTP/1.1"
 
     def setup(self):
-        self.connection, self.wfile = self.request.sock, _Out(self.request.sock)
+        self.connection, self.wfile = self.request.sock, _SocketWriter(self.request.sock)
         self.rfile = io.BytesIO(self.request.request.head)
 
     def handle(self):
-        self.told = None
+        self.wsgi_environ = None
         self.raw_requestline = self.rfile.readline(65537)
         self.target = self.raw_requestline.decode("latin1").split(" ")[1]
-        self.whole = self.parse_request()
-        if self.whole:
-            self.told = self._environ(self.request.request.body)
+        self.parsed = self.parse_request()
+        if self.parsed:
+            self.wsgi_environ = self._environ(self.request.request.body)
 
     def _environ(self, body):
         """The facts for the application; the body has been taken out of its chunks."""
@@ -70,17 +70,17 @@
 
     def finish(self):
         """What could not be parsed is told now; the door closes the socket."""
-        if not self.whole:
+        if not self.parsed:
             self.wfile.flush()
 
     def make_environ(self):
-        return self.told
+        return self.wsgi_environ
 
     def log(self, type, message, *args):
         """Requests are not logged line by line; the ring has what matters."""
 
 
-class Front:
+class ServerContext:
     """The few facts that werkzeug's handler asks of a server."""
 
     ssl_context, passthrough_errors = None, False
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -10,36 +10,36 @@
 
 from pulleyhitch import quota_requests
 
-__all__ = ["all_of", "read", "fleet"]
+__all__ = ["node_state", "read", "fleet"]
 
 
 def read(node, now_ms, body):
     """One confirmed read; `what` names the part."""
-    what, name = body.get("what", "layout"), body.get("name", "")
-    reg = node.cluster.registry
-    head = {"stamp": reg.stamp, "place": node.follower.place}
-    if what == "layout":
+    part, name = body.get("what", "layout"), body.get("name", "")
+    registry = node.cluster.registry
+    head = {"stamp": registry.stamp, "place": node.follower.place}
+    if part == "layout":
         return {
             **head,
             "partners": {
-                p: {"stamp": reg.stamps.get(p, 0), "section": _without_keys(s)}
-                for p, s in sorted(reg.sections.items())
+                p: {"stamp": registry.stamps.get(p, 0), "section": _without_keys(s)}
+                for p, s in sorted(registry.sections.items())
                 if name in ("", p)
             },
         }
-    if what == "zones":
+    if part == "zones":
         return {
             **head,
-            "evacuated": dict(sorted(reg.zones.items())),
-            "known": sorted(registries.zone_names(reg)),
+            "evacuated": dict(sorted(registry.zones.items())),
+            "known": sorted(registries.zone_names(registry)),
         }
-    if what == "engines":
+    if part == "engines":
         return {**head, "engines": _engines(node, name)}
-    if what == "written":
-        return {**head, "document": reg.document}
-    if what == "tenants":
-        return {**head, "tenants": quota_requests.described(node)}
-    if what == "why":
+    if part == "written":
+        return {**head, "document": registry.document}
+    if part == "tenants":
+        return {**head, "tenants": quota_requests.describe(node)}
+    if part == "why":
         return {**head, "unmet": _unmet(node, name)}
     return {
         **head,
@@ -90,9 +90,9 @@
     return dict(sorted(found.items()))
 
 
-def all_of(node, now_ms):
+def node_state(node, now_ms):
     """Everything this node believes right now, confirmed or not; for compare."""
-    told = {
+    state = {
         "node": node.card.name,
         "role": node.card.role,
         "zone": node.card.zone,
@@ -135,8 +135,8 @@
         },
     }
     if node.depot is not None:
-        told["depot"] = depots.described(node.depot)
-    return told
+        state["depot"] = depots.described(node.depot)
+    return state
 
 
 def fleet(node, now_ms):
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -15,52 +15,56 @@
 
 from transport import failures
 
-from pulleyhitch.gateway import Gateway, OperatorGateway, Status
+from pulleyhitch.gateway import Gateway, OperatorGateway, StatusEndpoint
 from pulleyhitch.process import CannotStart, Process
 from pulleyhitch.server import Server
 
-__all__ = ["run", "say"]
+__all__ = ["run", "report_failure"]
 
-_LET_IN = 0.3
-_LAST = 0.85
+_ACCEPT_SHARE = 0.3
+_DRAIN_SHARE = 0.85
 
 
-def say(failure):
+def report_failure(failure):
     """Tell a failure on the error stream, as one line of JSON."""
     print(json.dumps(failures.as_json(failure)), file=sys.stderr, flush=True)
 
 
-def _doors(process):
+def _make_servers(process):
     """What serves, besides the product's own interface, as the config has it."""
-    found = [("http", Server(process))]
-    for name, kind in (("callers", Gateway), ("operators", OperatorGateway), ("status", Status)):
+    servers = [("http", Server(process))]
+    for name, server_class in (
+        ("callers", Gateway),
+        ("operators", OperatorGateway),
+        ("status", StatusEndpoint),
+    ):
         if name in process.config.doors:
-            found.append((name, kind(process)))
-    return found
+            servers.append((name, server_class(process)))
+    return servers
 
 
-def run(config, dialect=None, news=None):
+def run(config, dialect=None, changed_seeds=None):
     """Serve until told to stop; returns the exit code.  `news()` is asked now and
     then for seeds that have changed, or None."""
     try:
         process = Process(config, dialect)
     except CannotStart as failed:
-        say(failed.failure)
+        report_failure(failed.failure)
         return 3
     try:
-        doors = _doors(process)
+        servers = _make_servers(process)
     except OSError as failed:
-        say(failures.AddressTaken(str(failed.args[-1] if failed.args else config.http)))
+        report_failure(failures.AddressTaken(str(failed.args[-1] if failed.args else config.http)))
         return 3
-    asked, look = threading.Event(), threading.Event()
+    stop_requested, reload_requested = threading.Event(), threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: asked.set())
-    signal.signal(signal.SIGHUP, lambda *_: look.set())
+        signal.signal(number, lambda *_: stop_requested.set())
+    signal.signal(signal.SIGHUP, lambda *_: reload_requested.set())
     signal.signal(signal.SIGUSR1, lambda *_: process.ring.note("asked", {}, why="asked"))
-    _settle_memory()
+    _freeze_garbage_collector()
     process.start()
-    for name, door in doors:
-        threading.Thread(target=door.run, name=name, daemon=True).start()
+    for name, server in servers:
+        threading.Thread(target=server.run, name=name, daemon=True).start()
     print(
         json.dumps(
             {"up": config.name, "role": config.role, "address": config.address, "http": config.http}
@@ -68,44 +72,46 @@
         flush=True,
     )
     if not config.tokens and dialect is None:
-        say(failures.NoTokens("whoever says they are a partner is believed; see [tokens]"))
-    code = _wait(process, asked, look, news)
+        report_failure(
+            failures.NoTokens("whoever says they are a partner is believed; see [tokens]")
+        )
+    code = _wait(process, stop_requested, reload_requested, changed_seeds)
     if code == 0:
-        _leave(process, dict(doors))
+        _drain(process, dict(servers))
     process.close()
     sys.stdout.flush()
     sys.stderr.flush()
     os._exit(code)
 
 
-def _settle_memory():
+def _freeze_garbage_collector():
     """All that was made so far lasts as long as the process: it is never looked
     through for garbage again, and what comes from now on is."""
     gc.freeze()
     gc.enable()
 
 
-def _wait(process, asked, look, news):
-    turn = 0
-    while not asked.wait(0.1 if news is None else 0.25):
+def _wait(process, stop_requested, reload_requested, changed_seeds):
+    polls = 0
+    while not stop_requested.wait(0.1 if changed_seeds is None else 0.25):
         if process.stopped():
             return 4
-        turn += 1
-        if news is not None and (look.is_set() or turn % 4 == 0):
-            look.clear()
-            seeds = news()
+        polls += 1
+        if changed_seeds is not None and (reload_requested.is_set() or polls % 4 == 0):
+            reload_requested.clear()
+            seeds = changed_seeds()
             if seeds:
-                process.tell("", "seeds", {"seeds": seeds})
+                process.notify("", "seeds", {"seeds": seeds})
     return 0
 
 
-def _leave(process, doors):
-    gateway, graceS = doors.get("callers"), process.config.bounds.graceMs / 1000
-    if gateway is None or not graceS:
+def _drain(process, servers):
+    gateway, grace_s = servers.get("callers"), process.config.bounds.graceMs / 1000
+    if gateway is None or not grace_s:
         return
     start_s = time.monotonic()
-    process.tell("", "leave", {})
-    time.sleep(_LET_IN * graceS)
+    process.notify("", "leave", {})
+    time.sleep(_ACCEPT_SHARE * grace_s)
     gateway.stop()
-    while time.monotonic() - start_s < _LAST * graceS and not gateway.empty():
+    while time.monotonic() - start_s < _DRAIN_SHARE * grace_s and not gateway.empty():
         time.sleep(0.02)
--- a/libs/pulleyhitch/src/pulleyhitch/listener.py
+++ b/libs/pulleyhitch/src/pulleyhitch/listener.py
@@ -19,15 +19,15 @@
 from transport import failures
 
 from pulleyhitch import admission, request_framing
-from pulleyhitch.caller import Caller
+from pulleyhitch.caller_connection import CallerConnection
 
-__all__ = ["Door"]
+__all__ = ["Listener"]
 
-_HELD_BYTES = 64 << 20
-_PER_THREAD = 20
+_BUFFER_LIMIT_BYTES = 64 << 20
+_CONNECTIONS_PER_THREAD = 20
 
 
-class Door:
+class Listener:
     """`run` lets callers in until `stop`.  `begin(caller)` runs on a thread of the
     caller's part; it returns None, or (future, finish, left) for a task that
     waits: `finish` gets a thread once the future is there, `left` is called if
@@ -39,117 +39,119 @@
         port,
         threads,
         begin,
-        kind_of,
-        arrive_s,
-        idle_s=None,
+        classify,
+        request_timeout_s,
+        idle_timeout_s=None,
         policy=admission.PLATFORM_POLICY,
     ):
-        self._begin, self._kind_of, self._arrive_s = begin, kind_of, arrive_s
+        self._begin, self._classify, self._request_timeout_s = begin, classify, request_timeout_s
         self._policy = policy
-        self._idle_s = idle_s or arrive_s
-        self._listener = socket.create_server((host, port), backlog=1024)
-        self._listener.setblocking(False)
-        self._parts = admission.parts(threads)
-        self._free = dict(self._parts)
+        self._idle_timeout_s = idle_timeout_s or request_timeout_s
+        self._server_socket = socket.create_server((host, port), backlog=1024)
+        self._server_socket.setblocking(False)
+        self._thread_shares = admission.thread_shares(threads)
+        self._free_threads = dict(self._thread_shares)
         self._lock = threading.Lock()
-        self._pool = ThreadPoolExecutor(sum(self._parts.values()), thread_name_prefix="http")
-        self._rest = ThreadPoolExecutor(threads, thread_name_prefix="leg")
+        self._pool = ThreadPoolExecutor(
+            sum(self._thread_shares.values()), thread_name_prefix="http"
+        )
+        self._finish_pool = ThreadPoolExecutor(threads, thread_name_prefix="leg")
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self._most = max(16, min(_PER_THREAD * threads, limit // 2))
-        self._open, self._bytes = {}, 0
-        self._told, self._line = queue.SimpleQueue(), []
-        self._bell, self._ring = socket.socketpair()
-        self._bell.setblocking(False)
+        self._connection_limit = max(16, min(_CONNECTIONS_PER_THREAD * threads, limit // 2))
+        self._connections, self._buffered_bytes = {}, 0
+        self._actions, self._thread_queue = queue.SimpleQueue(), []
+        self._wakeup_receiver, self._wakeup_sender = socket.socketpair()
+        self._wakeup_receiver.setblocking(False)
         self._selector = selectors.DefaultSelector()
-        self._selector.register(self._listener, selectors.EVENT_READ)
-        self._selector.register(self._bell, selectors.EVENT_READ)
-        self._stopping, self._listening = False, True
+        self._selector.register(self._server_socket, selectors.EVENT_READ)
+        self._selector.register(self._wakeup_receiver, selectors.EVENT_READ)
+        self._stopping, self._accepting = False, True
 
     def stop(self):
         self._stopping = True
-        self._say(lambda: None)
+        self._run_on_loop(lambda: None)
 
     def run(self):
         while not (self._stopping and self.empty()):
-            if self._stopping and self._listening:
-                self._shut_out()
-            for key, _ in self._selector.select(0.1 if self._line else 0.5):
-                if key.fileobj is self._listener:
-                    self._let_in()
-                elif key.fileobj is self._bell:
-                    self._bell.recv(4096)
+            if self._stopping and self._accepting:
+                self._stop_accepting()
+            for key, _ in self._selector.select(0.1 if self._thread_queue else 0.5):
+                if key.fileobj is self._server_socket:
+                    self._accept()
+                elif key.fileobj is self._wakeup_receiver:
+                    self._wakeup_receiver.recv(4096)
                 else:
-                    self._hear(key.data)
-            while not self._told.empty():
-                self._told.get()()
-            self._tidy(time.monotonic())
+                    self._on_readable(key.data)
+            while not self._actions.empty():
+                self._actions.get()()
+            self._enforce_timeouts(time.monotonic())
 
     def empty(self):
         """Whether nobody who was let in still waits for an answer."""
         return (
             self._stopping
-            and not self._listening
-            and not any(c.kind or c.data for c in list(self._open.values()))
+            and not self._accepting
+            and not any(c.request_class or c.data for c in list(self._connections.values()))
         )
 
-    def _shut_out(self):
+    def _stop_accepting(self):
         """Let in who has come already, then nobody any more."""
-        self._let_in()
-        self._listening = False
-        self._selector.unregister(self._listener)
-        self._listener.close()
+        self._accept()
+        self._accepting = False
+        self._selector.unregister(self._server_socket)
+        self._server_socket.close()
 
-    def _say(self, action):
+    def _run_on_loop(self, action):
         """Have the door's own thread do something."""
-        self._told.put(action)
+        self._actions.put(action)
         try:
-            self._ring.send(b"!", socket.MSG_DONTWAIT)
+            self._wakeup_sender.send(b"!", socket.MSG_DONTWAIT)
         except OSError:
             pass
 
-    def _let_in(self):
+    def _accept(self):
         for _ in range(64):
             try:
-                sock, address = self._listener.accept()
+                sock, address = self._server_socket.accept()
             except OSError:
                 return
-            if len(self._open) >= self._most and not self._push_out():
+            if len(self._connections) >= self._connection_limit and not self._close_oldest_idle():
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            caller = Caller(sock, address, time.monotonic())
-            self._open[sock] = caller
-            self._watch(caller)
+            caller = CallerConnection(sock, address, time.monotonic())
+            self._connections[sock] = caller
+            self._register(caller)
 
-    def _push_out(self):
+    def _close_oldest_idle(self):
         """Room for one more: whoever has been silent longest goes."""
-        idle = [c for c in self._open.values() if not c.kind and not c.data]
+        idle = [c for c in self._connections.values() if not c.request_class and not c.data]
         if not idle:
             return False
         self._close(min(idle, key=lambda c: c.since_s))
         return True
 
-    def _watch(self, caller):
+    def _register(self, caller):
         self._selector.register(caller.sock, selectors.EVENT_READ, caller)
-        caller.watched = True
+        caller.registered = True
 
-    def _unwatch(self, caller):
-        if caller.watched:
+    def _unregister(self, caller):
+        if caller.registered:
             self._selector.unregister(caller.sock)
-            caller.watched = False
+            caller.registered = False
 
     def _close(self, caller):
-        self._unwatch(caller)
-        if self._open.pop(caller.sock, None) is not None:
-            self._bytes -= len(caller.data)
-        admission.shut(caller.sock)
+        self._unregister(caller)
+        if self._connections.pop(caller.sock, None) is not None:
+            self._buffered_bytes -= len(caller.data)
+        admission.close_connection(caller.sock)
 
-    def _hear(self, caller):
-        if caller.kind:
-            self._unwatch(caller)
+    def _on_readable(self, caller):
+        if caller.request_class:
+            self._unregister(caller)
             if admission.peek(caller.sock) == b"":
-                self._leave(caller)
+                self._on_disconnect(caller)
             return
         try:
             got = caller.sock.recv(1 << 18)
@@ -159,11 +161,11 @@
             self._close(caller)
             return
         caller.data += got
-        self._bytes += len(got)
+        self._buffered_bytes += len(got)
         limit_bytes = self._policy.body_limit_of(caller.data)
-        self._judge(caller, admission.measured(caller.data, limit_bytes), not got)
+        self._dispatch(caller, admission.parse_first_request(caller.data, limit_bytes), not got)
 
-    def _judge(self, caller, measured, ended):
+    def _dispatch(self, caller, measured, ended):
         """Only a whole request goes on: what was cut off or can't be read is nobody's."""
         if isinstance(measured, request_framing.Complete):
             caller.request = measured
@@ -176,50 +178,61 @@
             )
         elif ended:
             self._close(caller)
-        elif self._bytes > _HELD_BYTES:
+        elif self._buffered_bytes > _BUFFER_LIMIT_BYTES:
             self._refuse(caller, "memory", 2)
 
     def _reject(self, caller, malformed):
-        admission.reject(caller.sock, malformed)
+        admission.send_malformed(caller.sock, malformed)
         self._close(caller)
 
-    def _leave(self, caller):
+    def _on_disconnect(self, caller):
         """The caller has left: told once, and only while its task still waits."""
         with self._lock:
-            left, caller.left = caller.left, None
-        if left is not None:
-            left()
+            on_disconnect, caller.on_disconnect = caller.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
 
     def _admit(self, caller):
         """A whole request gets a thread, or waits a moment for one."""
-        self._unwatch(caller)
-        caller.kind, caller.since_s = self._kind_of(caller.data), time.monotonic()
+        self._unregister(caller)
+        caller.request_class, caller.since_s = self._classify(caller.data), time.monotonic()
         if not self._start(caller):
-            self._line.append(caller)
-            self._line.sort(key=lambda c: (admission.ORDER[c.kind], c.since_s))
-            if len(self._line) > 2 * sum(self._parts.values()):
-                last = self._line.pop()
-                self._refuse(last, "threads", admission.PATIENCE_S[last.kind])
+            self._thread_queue.append(caller)
+            self._thread_queue.sort(
+                key=lambda c: (admission.PRIORITIES[c.request_class], c.since_s)
+            )
+            if len(self._thread_queue) > 2 * sum(self._thread_shares.values()):
+                last = self._thread_queue.pop()
+                self._refuse(last, "threads", admission.RETRY_AFTER_S[last.request_class])
 
     def _start(self, caller):
         """A thread of its own part, or of a lower one that has some free."""
         with self._lock:
-            part = next((p for p in admission.MAY_USE[caller.kind] if self._free[p] > 0), None)
+            part = next(
+                (
+                    p
+                    for p in admission.USABLE_SHARES[caller.request_class]
+                    if self._free_threads[p] > 0
+                ),
+                None,
+            )
             if part is None:
                 return False
-            self._free[part] -= 1
-        caller.part = part
+            self._free_threads[part] -= 1
+        caller.thread_share = part
         caller.sock.setblocking(True)
-        caller.sock.settimeout(self._arrive_s)
+        caller.sock.settimeout(self._request_timeout_s)
         self._pool.submit(self._serve, caller)
         return True
 
-    def _next(self):
-        self._line = [c for c in self._line if not self._start(c)]
+    def _start_queued(self):
+        self._thread_queue = [c for c in self._thread_queue if not self._start(c)]
 
     def _refuse(self, caller, cause, seconds):
-        self._unwatch(caller)
-        admission.answer(caller.sock, 503, failures.Overloaded(1000 * seconds, cause), seconds)
+        self._unregister(caller)
+        admission.send_failure(
+            caller.sock, 503, failures.Overloaded(1000 * seconds, cause), seconds
+        )
         self._close(caller)
 
     def _serve(self, caller):
@@ -228,32 +241,39 @@
             waiting = self._begin(caller)
         finally:
             with self._lock:
-                self._free[caller.part] += 1
-            self._say(lambda: self._close(caller) if waiting is None else None)
-            self._say(self._next)
+                self._free_threads[caller.thread_share] += 1
+            self._run_on_loop(lambda: self._close(caller) if waiting is None else None)
+            self._run_on_loop(self._start_queued)
         if waiting is not None:
-            future, caller.finish, caller.left = waiting
-            self._say(lambda: self._watch(caller) if caller.finish else None)
-            future.add_done_callback(lambda done: self._rest.submit(self._go_on, caller, done))
+            future, caller.finish, caller.on_disconnect = waiting
+            self._run_on_loop(lambda: self._register(caller) if caller.finish else None)
+            future.add_done_callback(
+                lambda done: self._finish_pool.submit(self._finish, caller, done)
+            )
 
-    def _go_on(self, caller, done):
+    def _finish(self, caller, done):
         with self._lock:
-            finish, caller.finish, caller.left = caller.finish, None, None
+            finish, caller.finish, caller.on_disconnect = caller.finish, None, None
         try:
             finish(done.result())
         finally:
-            self._say(lambda: self._close(caller))
+            self._run_on_loop(lambda: self._close(caller))
 
-    def _tidy(self, now_s):
+    def _enforce_timeouts(self, now_s):
         """Requests that don't get whole in time, or a thread soon, are given up."""
-        for caller in [c for c in self._line if now_s - c.since_s > self._arrive_s / 8]:
-            self._line.remove(caller)
-            self._refuse(caller, "threads", admission.PATIENCE_S[caller.kind])
+        for caller in [
+            c for c in self._thread_queue if now_s - c.since_s > self._request_timeout_s / 8
+        ]:
+            self._thread_queue.remove(caller)
+            self._refuse(caller, "threads", admission.RETRY_AFTER_S[caller.request_class])
         for caller in [
             c
-            for c in self._open.values()
-            if not c.kind and now_s - c.since_s > (self._arrive_s if c.data else self._idle_s)
+            for c in self._connections.values()
+            if not c.request_class
+            and now_s - c.since_s > (self._request_timeout_s if c.data else self._idle_timeout_s)
         ]:
             if caller.data:
-                admission.reject(caller.sock, request_framing.Malformed(408, "not whole in time"))
+                admission.send_malformed(
+                    caller.sock, request_framing.Malformed(408, "not whole in time")
+                )
             self._close(caller)
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -11,46 +11,45 @@
 from membership import greetings, peer_table
 from placement import floor as floors
 from replication import depot as depots
-from replication import follower as follows
+from replication import follower as followers
 from routing import engine_lives, refusal_notes, router
-from transport import events as e
-from transport import messages as m
+from transport import events, messages
 from transport.effects import Finished, Send
 
 from pulleyhitch import command_forwarding, operator_requests, quota_requests, shard_ownership
 from pulleyhitch import config as configs
 
-__all__ = ["Node", "make", "handle", "leader_of"]
+__all__ = ["Node", "make", "handle", "leader_address"]
 
-_LOST = 0.25
+_PEER_LOST_RATIO = 0.25
 # How long a node that stops waits for answers that are under way.
-_ANSWERS_MS = 1000.0
-_DEPOT_TALK = (
-    m.AppendEntries,
-    m.AppendReply,
-    m.ReplicaChunk,
-    m.ReplicaChunkReply,
-    m.VoteRequest,
-    m.VoteReply,
-    m.TransferLeadership,
-    m.BootstrapRequest,
-    m.BootstrapReply,
-    m.LeaveRequest,
-    m.LeaveReply,
-    m.Append,
-    m.RecoverAsk,
-    m.Release,
-    m.FeedChunkReply,
-    m.ShardChunkReply,
+_PENDING_ANSWERS_MS = 1000.0
+_DEPOT_MESSAGES = (
+    messages.AppendEntries,
+    messages.AppendReply,
+    messages.ReplicaChunk,
+    messages.ReplicaChunkReply,
+    messages.VoteRequest,
+    messages.VoteReply,
+    messages.TransferLeadership,
+    messages.BootstrapRequest,
+    messages.BootstrapReply,
+    messages.LeaveRequest,
+    messages.LeaveReply,
+    messages.Append,
+    messages.RecoverAsk,
+    messages.Release,
+    messages.FeedChunkReply,
+    messages.ShardChunkReply,
 )
 
 
 @dataclass
 class Node:
-    card: m.Card
+    card: messages.Card
     config: configs.Config
     peers: peer_table.PeerTable
-    follower: follows.Follow
+    follower: followers.Follow
     cluster: floors.Floor
     ownership: shard_ownership.ShardOwnership
     router: router.Router
@@ -71,7 +70,7 @@
     platform's shapes, if it has its own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
-    card = m.Card(
+    card = messages.Card(
         config.name,
         config.role,
         config.zone,
@@ -87,9 +86,13 @@
         card,
         config,
         peer_table.PeerTable(
-            card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
+            card,
+            config.seeds,
+            rng,
+            times.ping_ms * 1.5,
+            _PEER_LOST_RATIO * config.bounds.serviceBackMs,
         ),
-        follows.Follow(),
+        followers.Follow(),
         floors.Floor(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing_settings(config)),
@@ -105,41 +108,43 @@
     return node
 
 
-def leader_of(node):
+def leader_address(node):
     return node.peers.group.leader
 
 
 def handle(node, now_ms, event):
-    if isinstance(event, e.Received):
-        effects = _receive(node, now_ms, event.sender, event.message)
-    elif isinstance(event, e.Asked):
-        effects = operator_requests.asked(node, now_ms, event)
-    elif isinstance(event, e.Called):
-        effects = shard_ownership.on_called(
+    if isinstance(event, events.Received):
+        effects = _handle_message(node, now_ms, event.sender, event.message)
+    elif isinstance(event, events.Asked):
+        effects = operator_requests.handle_request(node, now_ms, event)
+    elif isinstance(event, events.Called):
+        effects = shard_ownership.on_call_result(
             node.ownership, now_ms, event, node.cluster, node.placement_settings
         )
-    elif isinstance(event, e.Closing):
-        effects = _close(node, now_ms)
-    elif isinstance(event, e.Tick):
+    elif isinstance(event, events.Closing):
+        effects = _begin_shutdown(node, now_ms)
+    elif isinstance(event, events.Tick):
         effects = _tick(node, now_ms)
     else:
         effects = []
-    if node.depot is not None and not isinstance(event, (e.Asked, e.Called)):
-        effects += _depot(node, now_ms, event)
+    if node.depot is not None and not isinstance(event, (events.Asked, events.Called)):
+        effects += _handle_depot(node, now_ms, event)
     if node.closing:
-        effects = _before_the_end(node, now_ms, effects)
-    effects += shard_ownership.flush(node.ownership, now_ms, node.card, leader_of(node))
+        effects = _delay_finished(node, now_ms, effects)
+    effects += shard_ownership.flush(node.ownership, now_ms, node.card, leader_address(node))
     return command_forwarding.translate(node, now_ms, effects)
 
 
-def _depot(node, now_ms, event):
-    if isinstance(event, e.Received) and not isinstance(event.message, _DEPOT_TALK + (m.Ask,)):
+def _handle_depot(node, now_ms, event):
+    if isinstance(event, events.Received) and not isinstance(
+        event.message, _DEPOT_MESSAGES + (messages.Ask,)
+    ):
         return []
     served = node.depot.writer.serving
     effects = depots.handle(node.depot, now_ms, event, node.peers.cards, node.peers.group.group)
     group = node.depot.group
     if node.card.empty and group.group:
-        node.card = m.Card(**{**vars(node.card), "empty": False})
+        node.card = messages.Card(**{**vars(node.card), "empty": False})
         node.peers.card = node.depot.card = node.card
     peer_table.learn_group(node.peers, depots.group_card(group), node.card.address)
     if node.depot.writer.serving and not served:
@@ -149,7 +154,7 @@
 
 def _tick(node, now_ms):
     effects = peer_table.tick(node.peers, now_ms)
-    effects += _ask(node, now_ms)
+    effects += _query_feed(node, now_ms)
     if not node.closing:
         effects += shard_ownership.tick(
             node.ownership,
@@ -159,44 +164,48 @@
             node.cluster,
             node.times,
             node.placement_settings,
-            leader_of(node),
+            leader_address(node),
             lambda name, life: peer_table.lost(node.peers, now_ms, name, life),
         )
     effects += router.tick(node.router, now_ms, node.cluster)
-    effects += quota_requests.tick(node, now_ms, operator_requests.crew)
-    effects += _wake(node, now_ms)
+    effects += quota_requests.tick(node, now_ms, operator_requests.routing_peers)
+    effects += _retry_waiting(node, now_ms)
     effects += refusal_notes.drain(node.router)
     return effects + operator_requests.tick(node, now_ms)
 
 
-def _ask(node, now_ms):
+def _query_feed(node, now_ms):
     """Ping the log node; when it is silent, ask around, and ask fellows too."""
     if now_ms - node.follower.asked_ms < node.times.ping_ms:
         return []
-    to = leader_of(node)
+    address = leader_address(node)
     silent = (
         now_ms - max(node.follower.direct_ms, node.membership_learned_ms) > 2 * node.times.ping_ms
     )
     effects = []
     node.feed_query_count += 1
-    if silent or not to:
-        around = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
-        if around:
-            target = around[node.feed_query_count % len(around)]
+    if silent or not address:
+        depot_addresses = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
+        if depot_addresses:
+            target = depot_addresses[node.feed_query_count % len(depot_addresses)]
             effects.append(Send(target, greetings.greeting(node.peers, True, now_ms, target)))
-            to = to if node.feed_query_count % 2 and to else target
+            address = address if node.feed_query_count % 2 and address else target
         for name in peer_table.watched(node.peers)[:2]:
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
-                    follows.ask(node.follower, now_ms, operator_requests.asker(node), card.address)
+                    followers.ask(
+                        node.follower, now_ms, operator_requests.requester_card(node), card.address
+                    )
                 )
-    if to:
-        effects.append(follows.ask(node.follower, now_ms, operator_requests.asker(node), to))
+    if address:
+        effects.append(
+            followers.ask(node.follower, now_ms, operator_requests.requester_card(node), address)
+        )
     return effects
 
 
-def _wake(node, now_ms):
+def _retry_waiting(node, now_ms):
     """Those in line try again; whom there is to share with matters only to them."""
     engine_lives.notice(node.router, now_ms, node.cluster)
     if not any(task.waiting for task in node.router.tasks.values()):
@@ -205,42 +214,46 @@
         node.router,
         now_ms,
         node.cluster,
-        follows.age(node.follower, now_ms),
-        operator_requests.crew(node, now_ms),
+        followers.age(node.follower, now_ms),
+        operator_requests.routing_peers(node, now_ms),
     )
 
 
-def _news(node, now_ms, news):
-    if not floors.on_news(node.cluster, node.follower.state, news):
+def _apply_feed_update(node, now_ms, feed_update):
+    if not floors.on_news(node.cluster, node.follower.state, feed_update):
         return []
-    return _wake(node, now_ms)
+    return _retry_waiting(node, now_ms)
 
 
-def _receive(node, now_ms, sender, message):
-    if isinstance(message, m.Greet):
+def _handle_message(node, now_ms, sender, message):
+    if isinstance(message, messages.Greet):
         before = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
         if node.peers.group != before:
             node.membership_learned_ms = now_ms
         return effects
-    if isinstance(message, m.Mark):
-        follows.on_mark(node.follower, message)
-        return follows.relay(node.follower, now_ms) + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedItems):
-        effects = _news(node, now_ms, follows.on_items(node.follower, message))
-        effects += follows.relay(node.follower, now_ms)
-        return effects + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedChunk):
-        effects, news = follows.on_chunk(node.follower, now_ms, node.card.name, sender, message)
-        effects += _news(node, now_ms, news)
-        return effects + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedChunkReply):
-        return follows.on_chunk_reply(node.follower, now_ms, sender, message)
-    if isinstance(message, m.Ask):
+    if isinstance(message, messages.Mark):
+        followers.on_mark(node.follower, message)
+        return followers.relay(node.follower, now_ms) + operator_requests.answer_confirmed_reads(
+            node, now_ms
+        )
+    if isinstance(message, messages.FeedItems):
+        effects = _apply_feed_update(node, now_ms, followers.on_items(node.follower, message))
+        effects += followers.relay(node.follower, now_ms)
+        return effects + operator_requests.answer_confirmed_reads(node, now_ms)
+    if isinstance(message, messages.FeedChunk):
+        effects, feed_update = followers.on_chunk(
+            node.follower, now_ms, node.card.name, sender, message
+        )
+        effects += _apply_feed_update(node, now_ms, feed_update)
+        return effects + operator_requests.answer_confirmed_reads(node, now_ms)
+    if isinstance(message, messages.FeedChunkReply):
+        return followers.on_chunk_reply(node.follower, now_ms, sender, message)
+    if isinstance(message, messages.Ask):
         if node.depot is None:
-            return follows.on_relay_ask(node.follower, now_ms, sender, message)
+            return followers.on_relay_ask(node.follower, now_ms, sender, message)
         return []
-    if isinstance(message, m.Durable):
+    if isinstance(message, messages.Durable):
         return shard_ownership.on_durable(
             node.ownership,
             now_ms,
@@ -250,32 +263,34 @@
             node.times,
             node.placement_settings,
         )
-    if isinstance(message, m.Refused):
+    if isinstance(message, messages.Refused):
         return shard_ownership.on_refused(node.ownership, message)
-    if isinstance(message, m.ShardChunk):
+    if isinstance(message, messages.ShardChunk):
         return shard_ownership.on_chunk(
             node.ownership, now_ms, sender, message, node.placement_settings
         )
-    if isinstance(message, m.QuotaAsk):
-        return quota_requests.on_ask(node, now_ms, sender, message)
-    if isinstance(message, m.QuotaGrant):
-        return quota_requests.on_grant(node, now_ms, sender, message, operator_requests.crew)
-    if isinstance(message, m.Command):
+    if isinstance(message, messages.QuotaAsk):
+        return quota_requests.on_request(node, now_ms, sender, message)
+    if isinstance(message, messages.QuotaGrant):
+        return quota_requests.on_grant(
+            node, now_ms, sender, message, operator_requests.routing_peers
+        )
+    if isinstance(message, messages.Command):
         return operator_requests.on_command(node, now_ms, message)
-    if isinstance(message, m.CommandAnswer):
+    if isinstance(message, messages.CommandAnswer):
         return command_forwarding.on_answer(node, now_ms, message)
     return []
 
 
-def _before_the_end(node, now_ms, effects):
+def _delay_finished(node, now_ms, effects):
     """Hold `Finished` back while somebody waits for an answer, though not for long."""
-    waited = now_ms - node.closing_ms > _ANSWERS_MS
-    if waited or not (node.operator.pending or shard_ownership.answers_waiting(node.ownership)):
+    waited = now_ms - node.closing_ms > _PENDING_ANSWERS_MS
+    if waited or not (node.operator.pending or shard_ownership.has_pending_answers(node.ownership)):
         return effects
     return [effect for effect in effects if not isinstance(effect, Finished)]
 
 
-def _close(node, now_ms):
+def _begin_shutdown(node, now_ms):
     """Orderly stop: no new work, leases back with a successor named."""
     node.closing, node.closing_ms = True, now_ms
     names = [
@@ -283,4 +298,6 @@
         for n in peer_table.live(node.peers, now_ms)
         if node.peers.cards[n].role == node.config.placers
     ]
-    return shard_ownership.release_all(node.ownership, node.card, leader_of(node), sorted(names))
+    return shard_ownership.release_all(
+        node.ownership, node.card, leader_address(node), sorted(names)
+    )
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -16,17 +16,17 @@
 from transport import failures
 from transport.effects import Reply
 
-from pulleyhitch import command_forwarding, introspection, passages, shard_ownership
-from pulleyhitch.command_forwarding import LOG_SHARD, Answered
+from pulleyhitch import caller_requests, command_forwarding, introspection, shard_ownership
+from pulleyhitch.command_forwarding import LOG_SHARD, CommandResult
 
 __all__ = [
     "OperatorRequests",
-    "asked",
+    "handle_request",
     "tick",
-    "current",
+    "answer_confirmed_reads",
     "on_command",
-    "crew",
-    "asker",
+    "routing_peers",
+    "requester_card",
 ]
 
 _FLEET = "fleet"
@@ -40,8 +40,8 @@
 
     token: str
     body: dict
-    asked_ms: float
-    end_ms: float
+    requested_ms: float
+    deadline_ms: float
 
 
 @dataclass
@@ -51,61 +51,63 @@
     pending: dict = field(default_factory=dict)
     reads: list = field(default_factory=list)
     count: int = 0
-    told_ms: float = -1e12
+    demand_reported_ms: float = -1e12
 
 
-def asked(node, now_ms, event):
+def handle_request(node, now_ms, event):
     """Do what is asked; the answer comes as a Reply, now or later."""
     verb = _VERBS.get(event.verb)
     if verb is not None:
         return verb(node, now_ms, event.token, event.body)
     shard = LOG_SHARD if event.verb == "fleet" else 0
-    return command_forwarding.send(node, now_ms, event.token, shard, event.verb, event.body)
+    return command_forwarding.forward(node, now_ms, event.token, shard, event.verb, event.body)
 
 
 def _ended(node, now_ms, token, body):
     age_ms = follows.age(node.follower, now_ms)
-    nodes = crew(node, now_ms)
+    nodes = routing_peers(node, now_ms)
     effects = router.ended(node.router, now_ms, node.cluster, age_ms, nodes, token, body["proof"])
     return effects + router.wake(node.router, now_ms, node.cluster, age_ms, nodes)
 
 
 def _silent(node, now_ms, token, body):
     age_ms = follows.age(node.follower, now_ms)
-    return router.silent(node.router, now_ms, node.cluster, age_ms, crew(node, now_ms), token)
+    return router.silent(
+        node.router, now_ms, node.cluster, age_ms, routing_peers(node, now_ms), token
+    )
 
 
 def _resume(node, now_ms, token, body):
     return resuming.resume(
-        node.router, now_ms, node.cluster, crew(node, now_ms), token, body["incarnation"]
+        node.router, now_ms, node.cluster, routing_peers(node, now_ms), token, body["incarnation"]
     )
 
 
 def _believes(node, now_ms, token, body):
-    return [Reply(token, Answered(200, introspection.all_of(node, now_ms)))]
+    return [Reply(token, CommandResult(200, introspection.node_state(node, now_ms)))]
 
 
 def _read(node, now_ms, token, body):
     """Confirm it by a mark that is asked for now."""
-    end_ms = command_forwarding.answer_by(node, now_ms)
-    node.operator.reads.append(PendingRead(token, body, now_ms, end_ms))
+    deadline_ms = command_forwarding.answer_deadline(node, now_ms)
+    node.operator.reads.append(PendingRead(token, body, now_ms, deadline_ms))
     leader = node.peers.group.leader
-    return [follows.ask(node.follower, now_ms, asker(node), leader)] if leader else []
+    return [follows.ask(node.follower, now_ms, requester_card(node), leader)] if leader else []
 
 
-def _abandoned(node, now_ms, token, body):
+def _handle_abandoned(node, now_ms, token, body):
     """An operator has left before its answer: nothing is done for it any more."""
-    command_forwarding.forget(node, token)
+    command_forwarding.cancel(node, token)
     node.operator.reads = [read for read in node.operator.reads if read.token != token]
     return [Reply(token, failures.MajorityLost(1000))]
 
 
 def _passage(node, now_ms, token, body):
-    return passages.begin(node, now_ms, token, body, crew(node, now_ms))
+    return caller_requests.begin(node, now_ms, token, body, routing_peers(node, now_ms))
 
 
 def _ready(node, now_ms, token, body):
-    return [Reply(token, Answered(200 if passages.ready(node, now_ms) else 503, {}))]
+    return [Reply(token, CommandResult(200 if caller_requests.ready(node, now_ms) else 503, {}))]
 
 
 def _leave(node, now_ms, token, body):
@@ -122,41 +124,41 @@
     name = body["name"]
     for section in node.cluster.registry.sections.values():
         if name in section["routes"]:
-            return [Reply(token, Answered(200, section["routes"][name]))]
+            return [Reply(token, CommandResult(200, section["routes"][name]))]
     return [Reply(token, failures.NotFound(f"route {name}"))]
 
 
-def asker(node):
+def requester_card(node):
     """Who asks for news: a node that stops still does, but is given no lease."""
     return dataclasses.replace(node.card, role=_STOPPING) if node.closing else node.card
 
 
-def crew(node, now_ms):
+def routing_peers(node, now_ms):
     return choice.Crew(node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone)
 
 
-def _task(node, now_ms, token, told):
+def _task(node, now_ms, token, facts):
     if node.closing:
         return [Reply(token, failures.Overloaded(1000, "closing"))]
     task = router.Task(
         token,
-        told["id"],
-        told["service"],
-        told["model"],
-        told["adapter"],
-        told["class"],
-        told["prompt"][:64],
-        told["repeatable"],
-        told["stream"],
-        now_ms + told["deadlineMs"],
-        rank=RANK[told["class"]],
+        facts["id"],
+        facts["service"],
+        facts["model"],
+        facts["adapter"],
+        facts["class"],
+        facts["prompt"][:64],
+        facts["repeatable"],
+        facts["stream"],
+        now_ms + facts["deadlineMs"],
+        rank=RANK[facts["class"]],
     )
     return router.begin(
         node.router,
         now_ms,
         node.cluster,
         follows.age(node.follower, now_ms),
-        crew(node, now_ms),
+        routing_peers(node, now_ms),
         task,
     )
 
@@ -168,7 +170,7 @@
     "resume": _resume,
     "believes": _believes,
     "read": _read,
-    "abandoned": _abandoned,
+    "abandoned": _handle_abandoned,
     "passage": _passage,
     "ready": _ready,
     "leave": _leave,
@@ -181,32 +183,32 @@
     """End what has waited long enough; answer what is confirmed by now."""
     effects = command_forwarding.tick(node, now_ms)
     for read in list(node.operator.reads):
-        if now_ms >= read.end_ms:
+        if now_ms >= read.deadline_ms:
             node.operator.reads.remove(read)
             effects.append(Reply(read.token, failures.MajorityLost(1000)))
-    effects += current(node, now_ms)
-    return effects + passages.tell_wanted(node, now_ms, command_forwarding.holder_address)
+    effects += answer_confirmed_reads(node, now_ms)
+    return effects + caller_requests.report_demand(node, now_ms, command_forwarding.holder_address)
 
 
-def current(node, now_ms):
+def answer_confirmed_reads(node, now_ms):
     """Answer the reads that a confirmed mark has overtaken."""
     effects = []
     for read in list(node.operator.reads):
-        if node.follower.current_ms >= read.asked_ms:
+        if node.follower.current_ms >= read.requested_ms:
             node.operator.reads.remove(read)
-            effects.append(Reply(read.token, _found(node, now_ms, read)))
+            effects.append(Reply(read.token, _read_result(node, now_ms, read)))
     return effects
 
 
-def _found(node, now_ms, read):
+def _read_result(node, now_ms, read):
     if read.body.get("what") != _FLEET:
-        return Answered(200, introspection.read(node, now_ms, read.body))
-    if not _leads(node):
+        return CommandResult(200, introspection.read(node, now_ms, read.body))
+    if not _is_log_leader(node):
         return failures.MajorityLost(1000)
     return introspection.fleet(node, now_ms)
 
 
-def _leads(node):
+def _is_log_leader(node):
     return node.depot is not None and node.depot.writer.serving
 
 
@@ -218,7 +220,7 @@
     except ValueError:
         return []
     if message.shard == LOG_SHARD:
-        return _read(node, now_ms, token, {"what": _FLEET}) if _leads(node) else []
+        return _read(node, now_ms, token, {"what": _FLEET}) if _is_log_leader(node) else []
     return shard_ownership.command(
         node.ownership,
         now_ms,
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -16,8 +16,7 @@
 from replication import group as groups
 from routing import engines, legs, passing
 from routing.pool import Pool
-from transport import events as e
-from transport import failures
+from transport import events, failures
 from transport.connections import Connections
 from transport.effects import Call, Dump, Finished, Install, Note, Reply, Save, Send, Wake, Write
 from transport.log_ring import Ring
@@ -29,12 +28,12 @@
 __all__ = ["Process", "CannotStart"]
 
 _TICKS_PER_PING = 6
-_FIRST_ELECT = 0.3
+_FIRST_ELECTION_RATIO = 0.3
 # What an orderly stop leaves for messages and answers under way.
-_LAST_WORDS_S = 0.15
-_COUNTER_STOPS_S = 1.0
+_FINAL_MESSAGES_S = 0.15
+_COUNTER_STOP_S = 1.0
 # How often connections that are past their time are looked for.
-_SWEEP_MS = 5000.0
+_SWEEP_INTERVAL_MS = 5000.0
 
 
 class CannotStart(Exception):
@@ -52,7 +51,7 @@
         self.pool = Pool()
         self.ring = Ring(config.name)
         self._queue = queue.SimpleQueue()
-        self._waiting = {}
+        self._futures = {}
         self._lock = threading.Lock()
         self._wake_ms = float("inf")
         self._sweep_ms = 0.0
@@ -63,16 +62,16 @@
         self._disk, group = self._open_disk(config)
         self._node = nodes.make(config, secrets.token_hex(8), secrets.randbits(64), group, dialect)
         try:
-            self._pipes = Connections(
+            self._connections = Connections(
                 config.listen,
                 lambda: Greet(self._node.card, False, (), self._node.peers.group),
-                lambda sender, message: self._queue.put(e.Received(sender, message)),
-                self._note,
+                lambda sender, message: self._queue.put(events.Received(sender, message)),
+                self._log_event,
                 configs.times(config).elect_ms,
             )
         except OSError as failed:
             raise CannotStart(failures.AddressTaken(config.listen)) from failed
-        self._owner = threading.Thread(target=self._own, name="owner", daemon=True)
+        self._owner = threading.Thread(target=self._run_owner, name="owner", daemon=True)
 
     def _open_disk(self, config):
         if config.role != "depot":
@@ -93,10 +92,12 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.elect_at_ms = _now() + _FIRST_ELECT * group.times.elect_ms * (1 + random.random())
+        group.elect_at_ms = _now() + _FIRST_ELECTION_RATIO * group.times.elect_ms * (
+            1 + random.random()
+        )
         return disk, group
 
-    def _note(self, what, facts):
+    def _log_event(self, what, facts):
         self.ring.note(what, facts)
 
     def start(self):
@@ -108,48 +109,48 @@
 
         Whoever waits for an answer that is there by then gets it.
         """
-        self._queue.put(e.Closing())
+        self._queue.put(events.Closing())
         if self._node.depot is not None:
-            wait_s = configs.times(self.config).leave_ms / 1000 + _LAST_WORDS_S
+            wait_s = configs.times(self.config).leave_ms / 1000 + _FINAL_MESSAGES_S
         else:
-            wait_s = _COUNTER_STOPS_S
+            wait_s = _COUNTER_STOP_S
         if self._finished.wait(wait_s):
-            self._stopped.wait(_LAST_WORDS_S)
+            self._stopped.wait(_FINAL_MESSAGES_S)
         self._stopped.set()
-        self._queue.put(e.Tick())
+        self._queue.put(events.Tick())
 
     def stopped(self):
         return self._stopped.is_set()
 
-    def post(self, token, verb, body):
+    def submit(self, token, verb, body):
         """Put an event to the owner; the future gets its word."""
         future = Future()
         with self._lock:
-            self._waiting[token] = future
-        self._queue.put(e.Asked(token, verb, body))
+            self._futures[token] = future
+        self._queue.put(events.Asked(token, verb, body))
         return future
 
-    def tell(self, token, verb, body):
+    def notify(self, token, verb, body):
         """An event whose answer goes to whoever waits on the token already."""
-        self._queue.put(e.Asked(token, verb, body))
+        self._queue.put(events.Asked(token, verb, body))
 
-    def ask(self, token, verb, body, wait_s=600.0):
-        future = self.post(token, verb, body)
+    def request(self, token, verb, body, wait_s=600.0):
+        future = self.submit(token, verb, body)
         try:
             return future.result(timeout=wait_s)
         except TimeoutError:
-            return self._given_up(token, future)
+            return self._abandon(token, future)
 
-    def _given_up(self, token, future):
+    def _abandon(self, token, future):
         """Nobody waits any more: a late word has nowhere to go.  One that came at the very
         end still counts."""
         with self._lock:
-            if self._waiting.get(token) is future:
-                del self._waiting[token]
+            if self._futures.get(token) is future:
+                del self._futures[token]
                 return failures.MajorityLost(1000)
         return future.result()
 
-    def _own(self):
+    def _run_owner(self):
         """Events as they come, and a tick whenever one is due, however many wait.
         After a time in which we did not run, what came meanwhile goes first."""
         tick_ms = configs.times(self.config).ping_ms / _TICKS_PER_PING
@@ -159,29 +160,29 @@
             due_ms = min(next_ms, self._wake_ms)
             if now_ms < due_ms:
                 try:
-                    self._feed(self._queue.get(timeout=(due_ms - now_ms) / 1000))
+                    self._handle_event(self._queue.get(timeout=(due_ms - now_ms) / 1000))
                 except queue.Empty:
                     pass
                 continue
             if now_ms - due_ms > 4 * tick_ms:
                 for _ in range(self._queue.qsize()):
-                    self._feed(self._queue.get())
+                    self._handle_event(self._queue.get())
             if now_ms >= next_ms:
                 next_ms = _now() + tick_ms
                 self._sweep(now_ms)
             self._wake_ms = float("inf")
-            self._feed(e.Tick())
+            self._handle_event(events.Tick())
 
     def _sweep(self, now_ms):
         """Connections to engines that nobody uses any more are closed also at rest."""
         if now_ms >= self._sweep_ms:
-            self._sweep_ms = now_ms + _SWEEP_MS
+            self._sweep_ms = now_ms + _SWEEP_INTERVAL_MS
             self._calls.submit(self.pool.sweep)
 
-    def _feed(self, event):
+    def _handle_event(self, event):
         try:
             for effect in nodes.handle(self._node, _now(), event):
-                self._do(effect)
+                self._apply_effect(effect)
         except disks.DiskFailed as failed:
             self._fail(failed.failure)
         except OSError as failed:
@@ -194,16 +195,16 @@
         self.ring.note("stops", failures.as_json(failure), why=failure.tag)
         self._stopped.set()
 
-    def _do(self, effect):
+    def _apply_effect(self, effect):
         if isinstance(effect, Send):
-            self._pipes.send(effect.to, effect.message)
+            self._connections.send(effect.to, effect.message)
         elif isinstance(effect, Write):
             self._write(effect)
         elif isinstance(effect, (Save, Install)):
             self._disk.write(effect)
         elif isinstance(effect, Reply):
             with self._lock:
-                future = self._waiting.pop(effect.token, None)
+                future = self._futures.pop(effect.token, None)
             if future is not None:
                 future.set_result(effect.outcome)
         elif isinstance(effect, Call):
@@ -222,28 +223,30 @@
         claim = self._disk.reserve(effect)
         if effect.inline:
             took_ms = self._disk.put(claim)
-            self._feed(e.Written(last.index, last.term, took_ms))
+            self._handle_event(events.Written(last.index, last.term, took_ms))
         else:
-            self._writes.submit(self._put, claim, last)
+            self._writes.submit(self._write_in_background, claim, last)
 
-    def _put(self, claim, last):
+    def _write_in_background(self, claim, last):
         try:
-            self._queue.put(e.Written(last.index, last.term, self._disk.put(claim)))
+            self._queue.put(events.Written(last.index, last.term, self._disk.put(claim)))
         except OSError as failed:
             self._fail(failures.DiskUntrusted("log", str(failed.strerror)))
 
     def _call(self, effect):
-        told = {**effect.body, "engine": effect.engine, "holder": self.config.name}
+        request_body = {**effect.body, "engine": effect.engine, "holder": self.config.name}
         if self.dialect is None:
-            ask = engines.order_ask(effect.url, effect.verb, effect.body)
-            ended = legs.call(ask, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms)
-            body = engines.read_json(ended.data) if ended.code else {}
+            request = engines.order_ask(effect.url, effect.verb, effect.body)
+            exchange = legs.call(
+                request, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms
+            )
+            body = engines.read_json(exchange.data) if exchange.code else {}
         else:
-            ask = self.dialect.call_ask(effect.url, effect.verb, told)
-            ended = passing.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
-            body = self.dialect.read_call(effect.verb, told, ended.code, ended.data)
-        kept = ended.head is not None and ended.head.kept
-        self._queue.put(e.Called(effect.id, ended.code, body or {}, ended.begun, kept))
+            request = self.dialect.call_ask(effect.url, effect.verb, request_body)
+            exchange = passing.call(self.pool, request, effect.timeout_ms, effect.not_after_ms)
+            body = self.dialect.read_call(effect.verb, request_body, exchange.code, exchange.data)
+        kept = exchange.head is not None and exchange.head.kept
+        self._queue.put(events.Called(effect.id, exchange.code, body or {}, exchange.begun, kept))
 
 
 def _now():
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -19,13 +19,13 @@
 
 from pulleyhitch import config as configs
 
-__all__ = ["Quotas", "begin", "described", "make", "on_ask", "on_grant", "tick"]
+__all__ = ["Quotas", "begin", "describe", "make", "on_request", "on_grant", "tick"]
 
 _UNANSWERED_RETRY_MS = 1000
 _LINE_FULL_RETRY_MS = 3000
 # How often the ring is told of refusals.
-_NOTE_MS = 5000.0
-_FIRST_NUMBERS = 1 << 48
+_REPORT_INTERVAL_MS = 5000.0
+_FIRST_NUMBER_RANGE = 1 << 48
 
 
 @dataclass
@@ -36,27 +36,27 @@
     spending: spending.Spending
     granting: granting.Granting
     standing: standings.Standing | None = None
-    untold: dict = field(default_factory=dict)
-    told_ms: float = -1e12
+    unreported_refusals: dict = field(default_factory=dict)
+    reported_ms: float = -1e12
 
 
 def make(config, random, group):
     """What a fresh node begins with; `group` is a depot's opened replication group."""
     terms = configs.quota_settings(config)
-    number = random.randrange(_FIRST_NUMBERS)
-    stands = None
+    number = random.randrange(_FIRST_NUMBER_RANGE)
+    standing = None
     if group is not None:
         restarted = bool(group.group)
-        stands = standings.Standing(group.identity, terms.trust_ms, config.depots, restarted)
-    spends = spending.Spending(config.name, terms, number)
-    return Quotas(spends, granting.Granting(terms), stands)
+        standing = standings.Standing(group.identity, terms.trust_ms, config.depots, restarted)
+    spender = spending.Spending(config.name, terms, number)
+    return Quotas(spender, granting.Granting(terms), standing)
 
 
-def begin(node, now_ms, age_ms, crew, task):
+def begin(node, now_ms, age_ms, peers, task):
     """A caller's task has come in: it goes on, waits for a token, or gets its final answer."""
     limit = _limit(node, task.tenant)
     task.awaiting_quota = limit is not None
-    effects = router.begin(node.router, now_ms, node.cluster, age_ms, crew, task)
+    effects = router.begin(node.router, now_ms, node.cluster, age_ms, peers, task)
     if limit is None or task.token not in node.router.tasks:
         return effects
     _learn_depots(node)
@@ -68,8 +68,8 @@
             return effects + router.refuse(node.router, task, full)
         waiting_line.await_quota(task, now_ms)
     else:
-        effects += _decided(node, now_ms, crew, task, outcome)
-    return effects + _advance(node, now_ms, lambda *_: crew)
+        effects += _apply_decision(node, now_ms, peers, task, outcome)
+    return effects + _process_decisions(node, now_ms, lambda *_: peers)
 
 
 def _limit(node, name):
@@ -86,38 +86,40 @@
     depot_choice.update(node.quotas.spending.depots, addresses)
 
 
-def _advance(node, now_ms, crew_of):
+def _process_decisions(node, now_ms, peers_of):
     """Tell the tasks that are decided by now, and send the asks that are due."""
-    _forget_gone(node)
-    decisions, asks = spending.advance(node.quotas.spending, now_ms)
-    effects = [Send(asking.to, asking.ask) for asking in asks]
+    _cancel_ended(node)
+    decisions, requests = spending.advance(node.quotas.spending, now_ms)
+    effects = [Send(request.to, request.ask) for request in requests]
     for decision in decisions:
         task = node.router.tasks[decision.token]
-        effects += _decided(node, now_ms, crew_of(node, now_ms), task, decision.outcome)
+        effects += _apply_decision(node, now_ms, peers_of(node, now_ms), task, decision.outcome)
     return effects
 
 
-def _forget_gone(node):
-    for token in _in_line(node):
+def _cancel_ended(node):
+    for token in _waiting_tokens(node):
         if token not in node.router.tasks:
             spending.forget(node.quotas.spending, token)
 
 
-def _in_line(node):
-    spends = node.quotas.spending
-    return [one.token for name in sorted(spends.lined) for one in spends.tenants[name].line]
+def _waiting_tokens(node):
+    spender = node.quotas.spending
+    return [
+        waiting.token for name in sorted(spender.lined) for waiting in spender.tenants[name].line
+    ]
 
 
-def _decided(node, now_ms, crew, task, outcome):
+def _apply_decision(node, now_ms, peers, task, outcome):
     if isinstance(outcome, spending.Granted):
-        return router.admit(node.router, now_ms, node.cluster, crew, task)
-    untold = node.quotas.untold
-    untold[task.tenant] = untold.get(task.tenant, 0) + 1
+        return router.admit(node.router, now_ms, node.cluster, peers, task)
+    unreported_refusals = node.quotas.unreported_refusals
+    unreported_refusals[task.tenant] = unreported_refusals.get(task.tenant, 0) + 1
     failure = failures.QuotaExceeded(task.tenant, int(outcome.retry_ms))
     return router.refuse(node.router, task, failure)
 
 
-def on_ask(node, now_ms, sender, message):
+def on_request(node, now_ms, sender, message):
     """Another node, or this one, asks for tokens."""
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
@@ -133,23 +135,27 @@
     standings.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
 
 
-def on_grant(node, now_ms, sender, message, crew_of):
+def on_grant(node, now_ms, sender, message, peers_of):
     """A depot has answered: those who waited for it go on."""
     spending.on_grant(node.quotas.spending, now_ms, sender, message)
-    return _advance(node, now_ms, crew_of)
+    return _process_decisions(node, now_ms, peers_of)
 
 
-def tick(node, now_ms, crew_of):
+def tick(node, now_ms, peers_of):
     """Depots that are silent are passed over; tasks that no depot answered are refused."""
     if node.depot is not None:
         _observe(node, now_ms)
     _learn_depots(node)
-    return _give_up(node, now_ms) + _advance(node, now_ms, crew_of) + _notes(node, now_ms)
+    return (
+        _refuse_expired(node, now_ms)
+        + _process_decisions(node, now_ms, peers_of)
+        + _report_refusals(node, now_ms)
+    )
 
 
-def _give_up(node, now_ms):
+def _refuse_expired(node, now_ms):
     effects = []
-    for token in _in_line(node):
+    for token in _waiting_tokens(node):
         task = node.router.tasks.get(token)
         if task is not None and now_ms >= task.give_up_ms:
             spending.forget(node.quotas.spending, token)
@@ -158,27 +164,35 @@
     return effects
 
 
-def _notes(node, now_ms):
+def _report_refusals(node, now_ms):
     """Refusals since the last note, a line for all tenants."""
     quotas = node.quotas
-    if not quotas.untold or now_ms - quotas.told_ms < _NOTE_MS:
+    if not quotas.unreported_refusals or now_ms - quotas.reported_ms < _REPORT_INTERVAL_MS:
         return []
-    note = Note("quota-refusals", {"tenants": quotas.untold})
-    quotas.untold, quotas.told_ms = {}, now_ms
+    note = Note("quota-refusals", {"tenants": quotas.unreported_refusals})
+    quotas.unreported_refusals, quotas.reported_ms = {}, now_ms
     return [note]
 
 
-def described(node):
+def describe(node):
     """By tenant: its limit, what this node got and did, and what it gave as a depot."""
     found = {}
     for name, facts in sorted(registries.tenants(node.cluster.registry).items()):
         found[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
-        here = node.quotas.spending.tenants.get(name)
-        if here is not None:
-            counts = {"granted": here.granted, "spent": here.spent, "refused": here.refused}
-            found[name] |= {**counts, "waiting": len(here.line)}
-        held = node.quotas.granting.tenants.get(name)
-        if held is not None:
-            left = round(held.bucket.tokens, 2)
-            found[name]["depot"] = {"given": held.given, "short": held.short, "left": left}
+        spent_here = node.quotas.spending.tenants.get(name)
+        if spent_here is not None:
+            counts = {
+                "granted": spent_here.granted,
+                "spent": spent_here.spent,
+                "refused": spent_here.refused,
+            }
+            found[name] |= {**counts, "waiting": len(spent_here.line)}
+        granted_here = node.quotas.granting.tenants.get(name)
+        if granted_here is not None:
+            left = round(granted_here.bucket.tokens, 2)
+            found[name]["depot"] = {
+                "given": granted_here.given,
+                "short": granted_here.short,
+                "left": left,
+            }
     return found
--- a/libs/pulleyhitch/src/pulleyhitch/request_framing.py
+++ b/libs/pulleyhitch/src/pulleyhitch/request_framing.py
@@ -7,7 +7,7 @@
 import re
 from dataclasses import dataclass
 
-__all__ = ["Complete", "Incomplete", "Malformed", "measure", "HEAD_LIMIT_BYTES"]
+__all__ = ["Complete", "Incomplete", "Malformed", "parse_request", "HEAD_LIMIT_BYTES"]
 
 HEAD_LIMIT_BYTES = 32 << 10
 # A chunk's size line, with its extension; longer ones are refused.
@@ -44,7 +44,7 @@
     limit_bytes: int = 0
 
 
-def measure(data, body_limit_bytes):
+def parse_request(data, body_limit_bytes):
     """The first request in `data`: Complete, Incomplete or Malformed."""
     end = data.find(_HEAD_END, 0, HEAD_LIMIT_BYTES + len(_HEAD_END))
     if end < 0:
--- a/libs/pulleyhitch/src/pulleyhitch/role_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/role_commands.py
@@ -47,7 +47,7 @@
     def handle(self):
         config = configs.read(self.option("config"), _flags(self, self.name))
         if isinstance(config, failures.Failure):
-            lifecycle.say(config)
+            lifecycle.report_failure(config)
             return 2
         return lifecycle.run(config)
 
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -23,9 +23,9 @@
 from werkzeug.wrappers import Request
 
 from pulleyhitch import admission
-from pulleyhitch.command_forwarding import Answered
-from pulleyhitch.http_handler import Front, Handler
-from pulleyhitch.listener import Door
+from pulleyhitch.command_forwarding import CommandResult
+from pulleyhitch.http_handler import RequestHandler, ServerContext
+from pulleyhitch.listener import Listener
 
 __all__ = ["Server"]
 
@@ -52,21 +52,21 @@
     def __init__(self, process):
         self._process = process
         self._config = process.config
-        self._serving = serving.Serving(process.ask, 500)
+        self._serving = serving.Serving(process.request, 500)
         self._classes = {}
         host, _, port = self._config.http.rpartition(":")
-        self._front = Front(
+        self._server_context = ServerContext(
             (host, int(port)),
             self._app,
             lambda *what: process.ring.note("http", {"what": str(what)[:2000]}, why="http"),
         )
         try:
-            self._door = Door(
+            self._listener = Listener(
                 host.strip("[]"),
                 int(port),
                 self._config.httpThreads,
                 self._begin,
-                lambda data: admission.kind(data, self._rank_of),
+                lambda data: admission.classify(data, self._rank_of),
                 0.4 * self._config.bounds.serviceBackMs / 1000,
                 policy=admission.PRODUCT_POLICY,
             )
@@ -74,59 +74,59 @@
             raise OSError(self._config.http) from failed
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def stop(self):
-        self._door.stop()
+        self._listener.stop()
 
     def _rank_of(self, route):
         return RANK.get(self._classes.get(route), 1)
 
     def _begin(self, caller):
         """First look at a request: answer it, or find that its task must wait."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole:
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed:
             return None
         task = self._first_step(handler)
         if task is None:
             handler.run_wsgi()
             return None
-        token, told, future = task
+        token, facts, future = task
 
-        def finish(step):
-            handler.told["pulleyhitch.step"] = (token, told, step)
+        def finish(outcome):
+            handler.wsgi_environ["pulleyhitch.step"] = (token, facts, outcome)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "ended", {"proof": "gone"})
+        def on_disconnect():
+            self._process.notify(token, "ended", {"proof": "gone"})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
     def _first_step(self, handler):
         """(token, task, future) of a caller's task; None for all else."""
         if self._config.role != "counter":
             return None
-        request = Request(handler.told)
+        request = Request(handler.wsgi_environ)
         try:
-            endpoint, values = _RULES.bind_to_environ(handler.told).match()
+            endpoint, values = _RULES.bind_to_environ(handler.wsgi_environ).match()
         except HTTPException:
             return None
         if endpoint not in _TASKS:
             return None
-        told = getattr(self, "_read_" + endpoint)(request, **values)
-        if isinstance(told, failures.Failure):
-            handler.told["pulleyhitch.step"] = ("", None, told)
+        facts = getattr(self, "_read_" + endpoint)(request, **values)
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ["pulleyhitch.step"] = ("", None, facts)
             return None
         token = secrets.token_hex(8)
-        future = self._process.post(token, "task", told)
+        future = self._process.submit(token, "task", facts)
         try:
             future.exception(0.005)
         except TimeoutError:
             pass
-        return token, told, future
+        return token, facts, future
 
     def _read_task(self, request, route=None):
         body = callers.read_body(request)
@@ -135,7 +135,7 @@
         return callers.read_task(body, route, self._config.deadlineMs)
 
     def _read_route(self, request, name):
-        found = self._process.ask(secrets.token_hex(8), "route", {"name": name})
+        found = self._process.request(secrets.token_hex(8), "route", {"name": name})
         if isinstance(found, failures.Failure):
             return found
         self._classes[name] = found.body.get("class")
@@ -160,10 +160,10 @@
         return response(environ, start_response)
 
     def _ask(self, verb, body):
-        outcome = self._process.ask(secrets.token_hex(8), verb, body)
+        outcome = self._process.request(secrets.token_hex(8), verb, body)
         if isinstance(outcome, failures.Failure):
             return callers.refusal(outcome)
-        if isinstance(outcome, Answered):
+        if isinstance(outcome, CommandResult):
             response = callers.answer(outcome.body, outcome.status)
             if "retryMs" in outcome.body:
                 response.headers["Retry-After"] = str(-(-outcome.body["retryMs"] // 1000))
@@ -174,10 +174,10 @@
         """Its first step was taken before a thread was given to the rest."""
         if "pulleyhitch.step" not in request.environ:
             return callers.refusal(failures.NotFound("callers are served by counters"))
-        token, told, step = request.environ["pulleyhitch.step"]
-        if isinstance(step, failures.Failure):
-            return callers.refusal(step)
-        return self._serving.serve(token, told, step, request.environ)
+        token, facts, outcome = request.environ["pulleyhitch.step"]
+        if isinstance(outcome, failures.Failure):
+            return callers.refusal(outcome)
+        return self._serving.serve(token, facts, outcome, request.environ)
 
     _route = _lookup = _task
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -24,15 +24,15 @@
     "on_durable",
     "on_chunk",
     "on_refused",
-    "on_called",
+    "on_call_result",
     "command",
     "lease_end",
     "release_all",
     "flush",
-    "answers_waiting",
+    "has_pending_answers",
 ]
 
-_ENDS = 0.8
+_LEASE_RATIO = 0.8
 
 
 @dataclass
@@ -57,69 +57,69 @@
 
 def lease_end(follower, times):
     """When our grants must be taken as ended, on our own clock."""
-    return follower.direct_ms + _ENDS * times.revoke_ms
+    return follower.direct_ms + _LEASE_RATIO * times.revoke_ms
 
 
-def _notice(ownership, card, book):
+def _apply_grants(ownership, card, log_state):
     effects = []
-    for shard, part in book.shards.items():
-        mine = part.holder == card.name and part.incarnation == card.incarnation
-        kept = ownership.owners.get(shard)
-        if mine and (kept is None or kept.epoch < part.epoch):
-            held = shard_log.ShardLog(shard, part.epoch)
+    for shard, assignment in log_state.shards.items():
+        is_ours = assignment.holder == card.name and assignment.incarnation == card.incarnation
+        owner = ownership.owners.get(shard)
+        if is_ours and (owner is None or owner.epoch < assignment.epoch):
+            held = shard_log.ShardLog(shard, assignment.epoch)
             ownership.owners[shard] = (
                 ConfigurationOwner(
                     shard,
-                    part.epoch,
+                    assignment.epoch,
                     held,
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, own=part.before == card.name)
+                else Placer(shard, assignment.epoch, held, own=assignment.before == card.name)
             )
-            effects.append(Note("holds", {"shard": shard, "epoch": part.epoch}, True))
-        elif kept and not mine and part.epoch > kept.epoch:
+            effects.append(Note("holds", {"shard": shard, "epoch": assignment.epoch}, True))
+        elif owner and not is_ours and assignment.epoch > owner.epoch:
             del ownership.owners[shard]
-            effects.append(Note("held", {"shard": shard, "epoch": kept.epoch}, True))
+            effects.append(Note("held", {"shard": shard, "epoch": owner.epoch}, True))
     return effects
 
 
-def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, lost):
-    effects = _notice(ownership, card, follower.state)
+def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, report_lost):
+    effects = _apply_grants(ownership, card, follower.state)
     end_ms = lease_end(follower, times)
-    for kept in ownership.owners.values():
-        held = kept.held
+    for owner in ownership.owners.values():
+        held = owner.held
         if not held.ready:
             if leader and now_ms - held.asked_ms > times.ping_ms:
                 effects += shard_log.recover(held, now_ms, card, leader)
             continue
         shard_log.resend(held, now_ms, follower.term, 2 * times.ping_ms)
-        if kept.shard == 0:
+        if owner.shard == 0:
             if now_ms < end_ms and not held.lost:
                 effects += rosters.tick(
-                    kept.roster, now_ms, settings, ownership.provider, f"0|{kept.epoch}"
+                    owner.roster, now_ms, settings, ownership.provider, f"0|{owner.epoch}"
                 )
         else:
             effects += placer.tick(
-                kept, now_ms, cluster.registry, ownership.shards, settings, end_ms, lost
+                owner, now_ms, cluster.registry, ownership.shards, settings, end_ms, report_lost
             )
-        confirmed_at = state_machine.shard_of(follower.state, kept.shard).checkpoint_at
-        effects += _checkpoint(kept, now_ms, card, settings, leader, confirmed_at, times)
+        confirmed_at = state_machine.shard_of(follower.state, owner.shard).checkpoint_at
+        effects += _checkpoint(owner, now_ms, card, settings, leader, confirmed_at, times)
     return effects + flush(ownership, now_ms, card, leader)
 
 
 def flush(ownership, now_ms, card, leader):
     effects = []
-    for kept in ownership.owners.values():
-        if not kept.held.lost:
-            effects += shard_log.flush(kept.held, now_ms, card, leader)
+    for owner in ownership.owners.values():
+        if not owner.held.lost:
+            effects += shard_log.flush(owner.held, now_ms, card, leader)
     return effects
 
 
-def _checkpoint(kept, now_ms, card, settings, leader, confirmed_at, times):
-    held = kept.held
+def _checkpoint(owner, now_ms, card, settings, leader, confirmed_at, times):
+    held = owner.held
     if shard_log.checkpoint_due(held, settings.checkpoint_records):
-        body = registries.dump(kept.registry) if kept.shard == 0 else ledgers.dump(kept.ledger)
+        body = registries.dump(owner.registry) if owner.shard == 0 else ledgers.dump(owner.ledger)
         shard_log.prepare_checkpoint(held, body)
     retry_ms = times.revoke_ms
     return shard_log.offer_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
@@ -127,72 +127,79 @@
 
 def on_chunk(ownership, now_ms, sender, message, settings):
     """A chunk of a shard that we were given came."""
-    kept = ownership.owners.get(message.shard)
-    if kept is None:
+    owner = ownership.owners.get(message.shard)
+    if owner is None:
         return []
-    effects, whole = shard_log.on_chunk(kept.held, now_ms, sender, message)
-    if not whole:
+    effects, complete = shard_log.on_chunk(owner.held, now_ms, sender, message)
+    if not complete:
         return effects
-    if kept.shard == 0:
-        kept.registry = registries.load(kept.held.checkpoint, ownership.zones, ownership.reader)
-        registries.replay(kept.registry, kept.held.records)
+    if owner.shard == 0:
+        owner.registry = registries.load(owner.held.checkpoint, ownership.zones, ownership.reader)
+        registries.replay(owner.registry, owner.held.records)
     else:
-        placer.taken_over(kept, now_ms, settings)
-    kept.held.checkpoint, kept.held.records = b"", []
-    facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
+        placer.taken_over(owner, now_ms, settings)
+    owner.held.checkpoint, owner.held.records = b"", []
+    facts = {"shard": message.shard, "epoch": message.epoch, "next": owner.held.next}
     return effects + [Note("recovered", facts, True)]
 
 
 def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
     effects = []
-    for place in message.places:
-        kept = ownership.owners.get(place.shard)
-        if kept is None:
+    for position in message.places:
+        owner = ownership.owners.get(position.shard)
+        if owner is None:
             continue
-        for then in shard_log.on_durable(kept.held, place, now_ms):
-            if kept.shard == 0:
-                effects.append(Reply(then[1], then[2]))
+        for continuation in shard_log.on_durable(owner.held, position, now_ms):
+            if owner.shard == 0:
+                effects.append(Reply(continuation[1], continuation[2]))
             else:
                 effects += placer.on_durable(
-                    kept, now_ms, then, cluster.registry, settings, lease_end(follower, times)
+                    owner,
+                    now_ms,
+                    continuation,
+                    cluster.registry,
+                    settings,
+                    lease_end(follower, times),
                 )
     return effects
 
 
 def on_refused(ownership, message):
-    kept = ownership.owners.get(message.shard)
-    if kept is not None:
-        shard_log.on_refused(kept.held, message)
+    owner = ownership.owners.get(message.shard)
+    if owner is not None:
+        shard_log.on_refused(owner.held, message)
     return []
 
 
-def on_called(ownership, now_ms, called, cluster, settings):
-    shard, epoch, id_ = called.id.split("|", 2)
-    kept = ownership.owners.get(int(shard))
-    if kept is None or kept.epoch != int(epoch):
+def on_call_result(ownership, now_ms, result, cluster, settings):
+    shard, epoch, id_ = result.id.split("|", 2)
+    owner = ownership.owners.get(int(shard))
+    if owner is None or owner.epoch != int(epoch):
         return []
-    if kept.shard == 0:
-        return _listed(ownership, now_ms, kept, id_, called, settings)
-    return placer.on_called(kept, now_ms, id_, called, cluster.registry, ownership.shards, settings)
+    if owner.shard == 0:
+        return _apply_engine_list(ownership, now_ms, owner, id_, result, settings)
+    return placer.on_called(
+        owner, now_ms, id_, result, cluster.registry, ownership.shards, settings
+    )
 
 
-def _listed(ownership, now_ms, kept, id_, called, settings):
+def _apply_engine_list(ownership, now_ms, owner, id_, result, settings):
     """A page of the platform's list came: what has changed is logged for all."""
     effects, changed = rosters.on_called(
-        kept.roster,
+        owner.roster,
         now_ms,
         id_,
-        called,
-        kept.registry,
+        result,
+        owner.registry,
         settings,
         ownership.provider,
-        f"0|{kept.epoch}",
+        f"0|{owner.epoch}",
     )
-    if changed and not kept.held.lost:
-        record, _, failure = registries.decide(kept.registry, "engines", {"engines": changed})
+    if changed and not owner.held.lost:
+        record, _, failure = registries.decide(owner.registry, "engines", {"engines": changed})
         if record is not None:
-            registries.apply(kept.registry, record)
-            shard_log.append(kept.held, record)
+            registries.apply(owner.registry, record)
+            shard_log.append(owner.held, record)
         elif failure is not None:
             effects.append(Note("list-wrong", failures.as_json(failure)))
     return effects
@@ -200,30 +207,30 @@
 
 def command(ownership, now_ms, token, shard, verb, body, follower, cluster, times, settings):
     """A command for a shard that this node is thought to hold."""
-    kept = ownership.owners.get(shard)
+    owner = ownership.owners.get(shard)
     if (
-        kept is None
-        or not kept.held.ready
-        or kept.held.lost
+        owner is None
+        or not owner.held.ready
+        or owner.held.lost
         or (now_ms >= lease_end(follower, times))
     ):
         return [Reply(token, failures.NoHolder(1000, shard))]
     if shard != 0:
-        return placer.command(kept, now_ms, token, verb, body, cluster.registry, settings)
+        return placer.command(owner, now_ms, token, verb, body, cluster.registry, settings)
     try:
-        record, answer, failure = registries.decide(kept.registry, verb, body)
+        record, answer, failure = registries.decide(owner.registry, verb, body)
     except Exception as failed:
-        return _not_judged(token, verb, failed)
+        return _report_defect(token, verb, failed)
     answer = failure if failure is not None else answer
-    then = ("reply", token, answer)
+    continuation = ("reply", token, answer)
     if record is not None:
-        registries.apply(kept.registry, record)
-        shard_log.append(kept.held, record, then)
+        registries.apply(owner.registry, record)
+        shard_log.append(owner.held, record, continuation)
         return []
-    return [Reply(token, answer)] if shard_log.barrier(kept.held, then) else []
+    return [Reply(token, answer)] if shard_log.barrier(owner.held, continuation) else []
 
 
-def _not_judged(token, verb, failed):
+def _report_defect(token, verb, failed):
     """A defect of ours met an order that it can't judge.  Nothing has changed, and stopping
     would only hand the same order to the next holder, and end that one too."""
     failure = failures.CoreBroke(verb, repr(failed))
@@ -234,15 +241,15 @@
     """On an orderly stop: give grants back, naming who should follow.  From here
     on nothing is sent for these shards; the next holder waits out our calls."""
     effects = []
-    for shard, kept in sorted(ownership.owners.items()):
-        kept.held.released = True
+    for shard, owner in sorted(ownership.owners.items()):
+        owner.held.released = True
         successor = successors[shard % len(successors)] if successors else ""
         if leader:
-            effects.append(Send(leader, Release(card.name, shard, kept.epoch, successor)))
+            effects.append(Send(leader, Release(card.name, shard, owner.epoch, successor)))
     return effects
 
 
-def answers_waiting(ownership):
+def has_pending_answers(ownership):
     """Whether somebody waits until a change of the configuration is durable."""
     return any(
         owner.held.waiting
--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -60,15 +60,15 @@
     """What stands behind a request's end is handed on as part of its body."""
     from pulleyhitch import request_framing
 
-    kept = request_framing.measure
+    kept = request_framing.parse_request
 
-    def measure(data, limit):
+    def parse_request(data, limit):
         found = kept(data, limit)
         if isinstance(found, request_framing.Complete) and b"smuggled" in data:
             return replace(found, body=found.body + b"smuggled")
         return found
 
-    request_framing.measure = measure
+    request_framing.parse_request = parse_request
 
 
 def _cut_short():
@@ -77,7 +77,7 @@
     from pulleyhitch import gateway, listener, request_framing
     from routing import relaying
 
-    kept = listener.Door._judge
+    kept = listener.Listener._dispatch
 
     def judge(door, caller, measured, ended):
         incomplete = isinstance(measured, request_framing.Incomplete)
@@ -86,7 +86,7 @@
             measured = request_framing.Complete(head + found, body)
         kept(door, caller, measured, ended)
 
-    listener.Door._judge = judge
+    listener.Listener._dispatch = judge
     gateway.hung_up = relaying.hung_up = lambda sock: False
 
 
--- a/libs/simulation/src/simulation/register/cluster.py
+++ b/libs/simulation/src/simulation/register/cluster.py
@@ -3,7 +3,7 @@
 import random
 
 from pulleyhitch import config as configs
-from pulleyhitch.operator_requests import Answered
+from pulleyhitch.operator_requests import CommandResult
 from transport import events as e
 from transport import failures
 from werkzeug.test import EnvironBuilder
@@ -168,7 +168,7 @@
         """A confirmed read of the zones evacuated, by the product's own interface."""
 
         def done(outcome):
-            if isinstance(outcome, Answered):
+            if isinstance(outcome, CommandResult):
                 answered(frozenset(outcome.body["evacuated"]))
             else:
                 answered(None)
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -19,7 +19,7 @@
         "seeds": [f"127.0.0.1:{ports[0]}"],
     }
     made = Process(config.check(facts))
-    test.addCleanup(made._pipes.close)
+    test.addCleanup(made._connections.close)
     test.addCleanup(made._stopped.set)
     test.patch(node, "handle", lambda _, now_ms, event: handle(event))
     return made
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -98,8 +98,8 @@
     def close(self):
         self.gateway.stop()
         self.process._stopped.set()
-        self.process.tell("", "leave", {})
-        self.process._pipes.close()
+        self.process.notify("", "leave", {})
+        self.process._connections.close()
         for door in self.doors.values():
             door.close()
 
@@ -113,14 +113,14 @@
 
     def at_rest(self):
         """Whether nothing of any request is left in any table."""
-        router, door = self.process._node.router, self.gateway._door
+        router, door = self.process._node.router, self.gateway._listener
         return (
             not router.tasks
             and not any(router.busy.values())
-            and not self.process._waiting
-            and not door._open
-            and not door._bytes
-            and door._free == door._parts
+            and not self.process._futures
+            and not door._connections
+            and not door._buffered_bytes
+            and door._free_threads == door._thread_shares
         )
 
     def settle(self):
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -70,7 +70,7 @@
             (post.replace(b"20", b"99999999"), Malformed(413, "body", 8 << 20)),
             (b"x" * 40000, Malformed(431, "head")),
         ):
-            self.assertThat(admission.measured(data), Equals(found))
+            self.assertThat(admission.parse_first_request(data), Equals(found))
         ranks = {"night": 2}
         for data, kind in (
             (b"GET /operator/fleet HTTP/1.1", "operator"),
@@ -81,9 +81,9 @@
             (post + b"{}", "rank1"),
             (b"\xff\x00", "rank1"),
         ):
-            self.assertThat(admission.kind(data, lambda r: ranks.get(r, 1)), Equals(kind))
+            self.assertThat(admission.classify(data, lambda r: ranks.get(r, 1)), Equals(kind))
 
     def test_a_lower_kind_never_uses_what_is_a_higher_ones(self):
         order = ("rank2", "rank1", "rank0")
         for place, kind in enumerate(order):
-            self.assertTrue(set(admission.MAY_USE[kind]) <= set(order[: place + 1]))
+            self.assertTrue(set(admission.USABLE_SHARES[kind]) <= set(order[: place + 1]))
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,7 +11,7 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 
 from pulleyhitch import admission
-from pulleyhitch.listener import Door
+from pulleyhitch.listener import Listener
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -30,8 +30,8 @@
 
 class Listening(TestCase):
     def door(self, begin, threads=16, policy=admission.PRODUCT_POLICY):
-        door = Door("127.0.0.1", 0, threads, begin, lambda data: "rank0", WAIT_S, policy=policy)
-        self.address = door._listener.getsockname()
+        door = Listener("127.0.0.1", 0, threads, begin, lambda data: "rank0", WAIT_S, policy=policy)
+        self.address = door._server_socket.getsockname()
         thread = threading.Thread(target=door.run, daemon=True)
         thread.start()
         self.addCleanup(thread.join, WAIT_S)
@@ -97,10 +97,10 @@
         for at in range(1, len(whole), 7):
             sock = self.connect()
             sock.sendall(whole[:at])
-            self.until(lambda: any(c.data for c in list(self.serving._open.values())))
+            self.until(lambda: any(c.data for c in list(self.serving._connections.values())))
             reset(sock)
-            self.until(lambda: not self.serving._open)
-        self.assertThat((self.begun, self.serving._bytes), Equals(([], 0)))
+            self.until(lambda: not self.serving._connections)
+        self.assertThat((self.begun, self.serving._buffered_bytes), Equals(([], 0)))
         self.asked_and_answered()
 
     def test_what_cannot_be_read_in_one_way_is_refused(self):
@@ -126,7 +126,7 @@
         self.assertThat(
             json.loads(received(sock).split(b"\r\n")[-1])["limitBytes"], Equals(1 << 20)
         )
-        self.until(lambda: not door._open)
+        self.until(lambda: not door._connections)
 
     def test_bytes_after_a_request_are_not_run(self):
         """Neither pipelined requests nor one inside a body."""
@@ -169,7 +169,7 @@
         other = self.connect()
         other.sendall(HEAD % b"other" + b"Content-Length: 0\r\n\r\n")
         self.assertTrue(received(other).endswith(b"other"))
-        self.until(lambda: not door._open)
+        self.until(lambda: not door._connections)
         self.assertThat(left, Equals([]))
 
 
@@ -261,10 +261,10 @@
         with ThreadPoolExecutor(self.CALLERS) as pool:
             found = list(pool.map(self.calls, range(self.CALLERS)))
         self.assertThat([wrong for _, wrong in found], Equals([[]] * self.CALLERS))
-        self.until(lambda: not self.serving._open)
+        self.until(lambda: not self.serving._connections)
         door = self.serving
-        self.until(lambda: door._free == door._parts)
-        self.assertThat((door._bytes, door._line), Equals((0, [])))
+        self.until(lambda: door._free_threads == door._thread_shares)
+        self.assertThat((door._buffered_bytes, door._thread_queue), Equals((0, [])))
         with self.lock:
             self.assertThat(self.waiting, Equals([]))
             self.assertThat(len(set(self.finished)), Equals(len(self.finished)))
--- a/tests/test_operator_gateway.py
+++ b/tests/test_operator_gateway.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 from adapter.dialect import DIALECT
-from pulleyhitch.command_forwarding import Answered
+from pulleyhitch.command_forwarding import CommandResult
 from pulleyhitch.gateway import OperatorGateway
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -33,12 +33,12 @@
         self.ring = SimpleNamespace(note=lambda *what, **why: None)
         self.posted, self.told = queue.SimpleQueue(), queue.SimpleQueue()
 
-    def post(self, token, verb, body):
+    def submit(self, token, verb, body):
         future = Future()
         self.posted.put((token, verb, body, future))
         return future
 
-    def tell(self, token, verb, body):
+    def notify(self, token, verb, body):
         self.told.put((token, verb))
 
 
@@ -74,10 +74,10 @@
         last = self.connect("DELETE")
         token, verb, body, future = self.process.posted.get(timeout=WAIT_S)
         self.assertThat((verb, body["evacuated"]), Equals(("zone", False)))
-        future.set_result(Answered(200, {"stamp": 2}))
+        future.set_result(CommandResult(200, {"stamp": 2}))
         self.assertThat(self.answer(last), Equals((200, {"stamp": 2})))
         for *_, future in posted:
-            future.set_result(Answered(200, {"stamp": 1}))
+            future.set_result(CommandResult(200, {"stamp": 1}))
         with ThreadPoolExecutor(len(waiting)) as pool:
             found = list(pool.map(self.answer, waiting))
         self.assertThat(found, Equals([(200, {"stamp": 1})] * 8))
@@ -87,8 +87,8 @@
         for outcome, status in (
             (failures.NoHolder(1000, 0), 503),
             (failures.MajorityLost(1000), 503),
-            (Answered(409, {"failure": "stamp-stale", "expected": 0, "current": 3}), 503),
-            (Answered(200, {"stamp": 3}), 200),
+            (CommandResult(409, {"failure": "stamp-stale", "expected": 0, "current": 3}), 503),
+            (CommandResult(200, {"stamp": 3}), 200),
         ):
             sock = self.connect()
             *_, future = self.process.posted.get(timeout=WAIT_S)
@@ -113,7 +113,7 @@
         here = self.connect("DELETE")
         token, verb, body, future = self.process.posted.get(timeout=WAIT_S)
         self.assertThat(body["evacuated"], Equals(False))
-        future.set_result(Answered(200, {"stamp": 1}))
+        future.set_result(CommandResult(200, {"stamp": 1}))
         self.assertThat(self.answer(here)[0], Equals(200))
         self.assertTrue(self.process.posted.empty())
 
--- a/tests/test_platform_written.py
+++ b/tests/test_platform_written.py
@@ -7,7 +7,7 @@
 from adapter import configuration
 from configuration import documents
 from configuration import registry as registries
-from pulleyhitch.command_forwarding import Answered
+from pulleyhitch.command_forwarding import CommandResult
 from simulation import platform_made as made
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, GreaterThan
@@ -40,7 +40,7 @@
         record, answer, failure = registries.decide(self.registry, verb, change)
         if record is not None:
             registries.apply(self.registry, record)
-        return self._answer(verb, failure if failure else Answered(200, answer))
+        return self._answer(verb, failure if failure else CommandResult(200, answer))
 
     def _answer(self, verb, outcome):
         status, _, body = configuration.operator_answer(verb, outcome)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -8,14 +8,14 @@
 from pulleyhitch import process
 from testtools import TestCase
 from testtools.matchers import Equals
-from transport import events as e
+from transport import events
 
 
 class _Endless(queue.SimpleQueue):
     """Always holds another event."""
 
     def get(self, block=True, timeout=None):
-        return e.Received("127.0.0.1:1", None)
+        return events.Received("127.0.0.1:1", None)
 
     def get_nowait(self):
         return self.get()
@@ -36,7 +36,7 @@
         ticked, count = threading.Event(), []
 
         def seen(event):
-            if isinstance(event, e.Tick):
+            if isinstance(event, events.Tick):
                 count.append(1)
                 if len(count) == 5:
                     ticked.set()
@@ -51,7 +51,7 @@
         order, done, clock = [], threading.Event(), [0.0]
 
         def seen(event):
-            if isinstance(event, e.Closing):
+            if isinstance(event, events.Closing):
                 clock[0] += 10000.0
             order.append(type(event).__name__)
             if len(order) > 11:
@@ -59,9 +59,9 @@
 
         made = self.process(seen)
         self.patch(process, "_now", lambda: clock[0])
-        made._queue.put(e.Closing())
+        made._queue.put(events.Closing())
         for _ in range(10):
-            made._queue.put(e.Received("a", None))
+            made._queue.put(events.Received("a", None))
         made.start()
         self.assertTrue(done.wait(60))
         first = order[order.index("Closing") + 1 :]
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -190,14 +190,14 @@
 
     def test_operators_see_what_was_given_and_refused(self):
         self.load(300, 6000)
-        told = [quota_requests.described(self.node(name))[LIMITED] for name in self.counters]
+        told = [quota_requests.describe(self.node(name))[LIMITED] for name in self.counters]
         self.assertThat(sum(t["refused"] for t in told), GreaterThan(500))
         runs = sum(request.outcome == "run" for request in self.requests)
         self.assertThat(sum(t["spent"] for t in told), Equals(runs))
         for name in self.depots:
             self.node(name).cluster.registry.sections["quotas"] = SECTION
             self.node(name).cluster.registry.memo.clear()
-        depots = [quota_requests.described(self.node(n))[LIMITED] for n in self.depots]
+        depots = [quota_requests.describe(self.node(n))[LIMITED] for n in self.depots]
         self.assertThat(sum(d["depot"]["given"] for d in depots), GreaterThan(runs - 1))
         notes = [
             facts for _, what, facts in self.world.hosts["c0"].notes if what == "quota-refusals"
@@ -208,7 +208,7 @@
         depot = self.node(self.depots[0])
         depot.closing = True
         ask = QuotaAsk(1, ())
-        (effect,) = quota_requests.on_ask(depot, 1e9, "x", ask)
+        (effect,) = quota_requests.on_request(depot, 1e9, "x", ask)
         self.assertThat(effect.message.granting, Equals(False))
 
 
--- a/tests/test_register_cut_off.py
+++ b/tests/test_register_cut_off.py
@@ -5,7 +5,7 @@
 import random
 
 from adapter.dialect import DIALECT
-from pulleyhitch.command_forwarding import Answered
+from pulleyhitch.command_forwarding import CommandResult
 from simulation import platform_made as made
 from simulation.register.cluster import Cluster
 from simulation.register.model import State, canonical
@@ -177,5 +177,5 @@
             cluster.spin(moment_ms)
             cluster.ask(leader, "fleet", {}, found.append)
             cluster.spin(1000)
-            views = [o for o in found[1:] if isinstance(o, Answered) and o.status == 200]
+            views = [o for o in found[1:] if isinstance(o, CommandResult) and o.status == 200]
             self.assertThat(views, Equals([]), f"{moment_ms}")
--- a/tests/test_register_machine.py
+++ b/tests/test_register_machine.py
@@ -21,7 +21,7 @@
     run_state_machine_as_test,
 )
 from pulleyhitch import command_forwarding, introspection, operator_requests, shard_ownership
-from pulleyhitch.command_forwarding import Answered
+from pulleyhitch.command_forwarding import CommandResult
 from replication import shard_log
 from simulation import platform_made as made
 from simulation.register.cluster import ZONES, Cluster
@@ -249,7 +249,7 @@
 
     def test_reads_that_no_majority_confirmed(self):
         def read(node, now_ms, token, body):
-            return [Reply(token, Answered(200, introspection.read(node, now_ms, body)))]
+            return [Reply(token, CommandResult(200, introspection.read(node, now_ms, body)))]
 
         self.patch(operator_requests, "_VERBS", {**operator_requests._VERBS, "read": read})
         self.assertTrue(self.seen())
@@ -307,7 +307,7 @@
             read_operator=DIALECT.read_operator,
             operator_answer=operator_answer,
         )
-        self.patch(command_forwarding, "_overtaken", lambda pending, body: False)
+        self.patch(command_forwarding, "_is_stale_here", lambda pending, body: False)
         self.patch(Cluster, "http", _with_dialect(Cluster.http, mutant))
         self.assertTrue(self.seen())
 
@@ -316,7 +316,7 @@
 
         def finish(node, now_ms, pending, outcome):
             if isinstance(outcome, failures.NoHolder) and pending.verb == "written":
-                outcome = Answered(200, {"stamp": 0})
+                outcome = CommandResult(200, {"stamp": 0})
             return real(node, now_ms, pending, outcome)
 
         self.patch(command_forwarding, "_finish", finish)
--- a/tests/test_request_framing.py
+++ b/tests/test_request_framing.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from pulleyhitch.request_framing import Complete, Incomplete, Malformed, measure
+from pulleyhitch.request_framing import Complete, Incomplete, Malformed, parse_request
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -43,20 +43,20 @@
         sent, body = request
         end = sent.find(b"\r\n\r\n") + 4
         for at in range(len(sent)):
-            self.assertThat(measure(bytearray(sent[:at]), LIMIT_BYTES), Equals(Incomplete()))
+            self.assertThat(parse_request(bytearray(sent[:at]), LIMIT_BYTES), Equals(Incomplete()))
         self.assertThat(
-            measure(bytearray(sent + after), LIMIT_BYTES), Equals(Complete(sent[:end], body))
+            parse_request(bytearray(sent + after), LIMIT_BYTES), Equals(Complete(sent[:end], body))
         )
 
     def test_without_a_body(self):
         for line in (b"GET / HTTP/1.1\r\n", b"GET /\xc3\xa9?a=/#b HTTP/1.0\r\nA:\r\n"):
             sent = line + b"\r\n"
-            self.assertThat(measure(sent + b"rest", LIMIT_BYTES), Equals(Complete(sent, b"")))
+            self.assertThat(parse_request(sent + b"rest", LIMIT_BYTES), Equals(Complete(sent, b"")))
 
 
 class Refused(TestCase):
     def refused(self, sent, status=400):
-        found = measure(bytearray(sent), LIMIT_BYTES)
+        found = parse_request(bytearray(sent), LIMIT_BYTES)
         self.assertIsInstance(found, Malformed, f"{sent[:80]} {found}")
         self.assertThat(found.status, Equals(status))
 
@@ -132,7 +132,7 @@
             )
             if not sent:
                 return
-        found = measure(sent, LIMIT_BYTES)
+        found = parse_request(sent, LIMIT_BYTES)
         if isinstance(found, Complete):
             self.assertTrue(sent.startswith(found.head))
             self.assertTrue(len(found.head) + len(found.body) <= len(sent))
--- a/tests/test_task_ends.py
+++ b/tests/test_task_ends.py
@@ -248,10 +248,10 @@
             return []
 
         process = self.process(handle)
-        self.assertIsInstance(process.ask("t", "late", {}, 0.01), failures.MajorityLost)
-        self.assertThat(process._waiting, Equals({}))
-        self.assertIsInstance(process.ask("u", "say", {}, 30), Done)
-        self.assertThat((said.is_set(), process._waiting), Equals((True, {})))
+        self.assertIsInstance(process.request("t", "late", {}, 0.01), failures.MajorityLost)
+        self.assertThat(process._futures, Equals({}))
+        self.assertIsInstance(process.request("u", "say", {}, 30), Done)
+        self.assertThat((said.is_set(), process._futures), Equals((True, {})))
 
     def test_each_word_goes_to_whoever_asked(self):
         """Many threads, some of which give up at once."""
@@ -269,7 +269,7 @@
             wrong = []
             for turn in range(300):
                 token = f"{number}.{turn}"
-                found = process.ask(token, "x", {}, 0.0 if turn % 7 == 0 else 30)
+                found = process.request(token, "x", {}, 0.0 if turn % 7 == 0 else 30)
                 gave_up = isinstance(found, failures.MajorityLost)
                 if found != failures.NotFound(token) and not (gave_up and turn % 7 == 0):
                     wrong.append((token, found))
@@ -277,7 +277,7 @@
 
         with ThreadPoolExecutor(12) as pool:
             self.assertThat(sum(pool.map(asks, range(12)), []), Equals([]))
-        self.assertThat(process._waiting, Equals({}))
+        self.assertThat(process._futures, Equals({}))
 
 
 class Commands(TestCase):
@@ -290,7 +290,7 @@
                 http="127.0.0.1:0", httpThreads=4, bounds=config.Bounds(), tokens={}
             )
 
-            def ask(self, token, verb, body):
+            def request(self, token, verb, body):
                 asked.append(body)
                 return Done()
 
--- a/tests/test_tenant_headers.py
+++ b/tests/test_tenant_headers.py
@@ -6,9 +6,9 @@
 from adapter import callers
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from pulleyhitch.caller import Caller
-from pulleyhitch.http_handler import Front, Handler
-from pulleyhitch.request_framing import Complete, measure
+from pulleyhitch.caller_connection import CallerConnection
+from pulleyhitch.http_handler import RequestHandler, ServerContext
+from pulleyhitch.request_framing import Complete, parse_request
 from routing.tasks import Leg
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -24,13 +24,15 @@
 def told_of(lines):
     """What the adapter reads of a request with these header lines, as it comes by wire."""
     head = b"\r\n".join([b"POST /a/b HTTP/1.1", b"Host: h.example", *lines, b"", b""])
-    request = measure(head, 10)
+    request = parse_request(head, 10)
     assert isinstance(request, Complete), request
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        front = Front(("h", 1), None, None)
-        handler = Handler(Caller(ours, ("c", 1), 0.0, request=request), ("c", 1), front)
-        return callers.read_caller(Request(handler.told), handler.target)
+        front = ServerContext(("h", 1), None, None)
+        handler = RequestHandler(
+            CallerConnection(ours, ("c", 1), 0.0, request=request), ("c", 1), front
+        )
+        return callers.read_caller(Request(handler.wsgi_environ), handler.target)
 
 
 def sent_to_engine(told, leg):
@@ -61,7 +63,7 @@
     def test_folded_lines_are_refused(self):
         for lines in (b"X-Odd: a\r\n X-Sender: forged", b"X-Odd: a\rX-Sender: forged"):
             head = b"POST /a/b HTTP/1.1\r\nHost: h\r\n" + lines + b"\r\n\r\n"
-            self.assertThat(measure(head, 10).status, Equals(400))
+            self.assertThat(parse_request(head, 10).status, Equals(400))
 
     # Guards against UNASKED: any mix of the headers, in any case and order.
     @settings(max_examples=150, deadline=None)
--- a/tests/test_unasked.py
+++ b/tests/test_unasked.py
@@ -13,9 +13,9 @@
 
 import pycurl
 from adapter.dialect import DIALECT
-from pulleyhitch.caller import Caller
+from pulleyhitch.caller_connection import CallerConnection
 from pulleyhitch.gateway import Gateway
-from pulleyhitch.request_framing import measure
+from pulleyhitch.request_framing import parse_request
 from routing import passing
 from routing.engines import Ask
 from routing.pool import Pool
@@ -50,7 +50,7 @@
         engine = self._rng.choice(self._engines)
         return Leg("i-1", engine.url, 3000.0, 0, tenant=tenant)
 
-    def post(self, token, verb, told):
+    def submit(self, token, verb, told):
         told.update(
             kind=self._rng.choice(("safe", "unsafe", "stream")),
             resumable=False,
@@ -64,10 +64,10 @@
         future.set_result(self._leg(tenant))
         return future
 
-    def tell(self, token, verb, body):
+    def notify(self, token, verb, body):
         """Nothing waits here."""
 
-    def ask(self, token, verb, body, wait_s=0):
+    def request(self, token, verb, body, wait_s=0):
         if verb == "silent":
             return Stay()
         proof = body["proof"]
@@ -92,15 +92,15 @@
         owner = Owner([UnrulyEngine(0, ("good",))], free_port())
         gateway, posted = Gateway(owner), []
         self.addCleanup(gateway.stop)
-        self.patch(owner, "post", lambda *asked: posted.append(asked) or Future())
-        request = measure(b"GET /a/ HTTP/1.1\r\nHost: h\r\nX-Try-Id: t\r\n\r\n", 10)
+        self.patch(owner, "submit", lambda *asked: posted.append(asked) or Future())
+        request = parse_request(b"GET /a/ HTTP/1.1\r\nHost: h\r\nX-Try-Id: t\r\n\r\n", 10)
         for leaves in (False, True):
             ours, theirs = socket.socketpair()
             self.addCleanup(ours.close)
             self.addCleanup(theirs.close)
             if leaves:
                 theirs.close()
-            gateway._begin(Caller(ours, ("c", 1), 0.0, request=request))
+            gateway._begin(CallerConnection(ours, ("c", 1), 0.0, request=request))
         self.assertThat(len(posted), Equals(1))
 
 
