--- a/libs/pulleyhitch/src/pulleyhitch/__init__.py
+++ b/libs/pulleyhitch/src/pulleyhitch/__init__.py
@@ -1,4 +1,4 @@
-"""pulleyhitch: a shared floor for many models; router and placer."""
+"""pulleyhitch: a router and placer for engines that share many models."""
 
 __all__ = ["VERSION"]
 VERSION = "0.1.0"
--- a/libs/pulleyhitch/src/pulleyhitch/admission.py
+++ b/libs/pulleyhitch/src/pulleyhitch/admission.py
@@ -1,5 +1,9 @@
-"""What the door makes of a request before anybody has read it: whether it is
-whole, of what kind it is, and whose threads that kind may use."""
+"""Admission of requests by the HTTP listener.
+
+Decides from a request's raw bytes whether it is complete, which class it has, and which
+thread shares that class may use; sends the short responses that need no thread.  The classes
+are `operator`, `lookup` and the ranks of tasks, `rank0` (highest) to `rank2`.
+"""
 
 import json
 import re
@@ -34,7 +38,9 @@
 
 BODY_LIMIT_BYTES = 8 << 20
 _TASK_START = b"POST /v1/"
+# Part of the threads that each class has to itself.
 _SHARES = {"operator": 0.0625, "lookup": 0.25, "rank0": 0.375, "rank1": 0.1875, "rank2": 0.125}
+# Thread shares that each class may use, in order of preference; never a higher class's share.
 USABLE_SHARES = {
     "operator": ("operator",),
     "lookup": ("lookup", "rank2", "rank1"),
@@ -42,35 +48,38 @@
     "rank1": ("rank1", "rank2"),
     "rank2": ("rank2",),
 }
+# Order in which queued requests get threads; lower values first.
 PRIORITIES = {"operator": 0, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 3}
+# Retry-After of a response that refuses a request because no thread is free.
 RETRY_AFTER_S = {"operator": 1, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 5}
 _CLASS = re.compile(rb'"class"\s*:\s*"([a-z]{1,16})"')
 _ROUTE = re.compile(rb"^POST /v1/route/([^ /?]{1,80})")
 
 
 def thread_shares(threads):
+    """Number of threads of each class, out of `threads`; at least one each."""
     return {name: max(1, int(share * threads)) for name, share in _SHARES.items()}
 
 
 def parse_first_request(data, body_limit_bytes=BODY_LIMIT_BYTES):
-    """The first request in what a connection has sent."""
+    """The first request in the bytes that a connection has received."""
     return request_framing.parse_request(data, body_limit_bytes)
 
 
 @dataclass(frozen=True)
 class RequestPolicy:
-    """What an interface asks of a request before anybody reads it.
+    """Limits of an interface, applied before a request is handled.
 
-    `body_limit_of(data)` is the most bytes a body may have; `cut_short_status` answers a
-    request that ends before its body does: 408 where callers may send it again, since
-    it has not run."""
+    `body_limit_of(data)` is the largest body in bytes; `truncated_status` is the status for
+    a request that ends before its body does: 408 where callers may retry it, since it has
+    not run."""
 
     body_limit_of: Callable
-    cut_short_status: int
+    truncated_status: int
 
 
 def _task_limit(data):
-    """Tasks on the product's own interface are small."""
+    """Body limit of the product's own interface, where tasks have a smaller one."""
     return TASK_LIMIT_BYTES if data.startswith(_TASK_START) else BODY_LIMIT_BYTES
 
 
@@ -79,21 +88,22 @@
 
 
 def classify(data, rank_of):
-    """operator, lookup or the rank of a task's class; `rank_of` knows routes."""
-    line = bytes(data[:200])
-    if b" /operator/" in line:
+    """Class of a request: operator, lookup, or rank of the task; `rank_of(route)` returns the
+    rank of a named route.  A task without a known class has rank 1."""
+    start = bytes(data[:200])
+    if b" /operator/" in start:
         return "operator"
-    if b" /v1/lookup/" in line:
+    if b" /v1/lookup/" in start:
         return "lookup"
-    route = _ROUTE.match(line)
+    route = _ROUTE.match(start)
     if route:
         return f"rank{rank_of(route[1].decode('latin1'))}"
-    told = _CLASS.search(data, 0, 1 << 16)
-    return f"rank{RANK.get(told[1].decode(), 1) if told else 1}"
+    found_class = _CLASS.search(data, 0, 1 << 16)
+    return f"rank{RANK.get(found_class[1].decode(), 1) if found_class else 1}"
 
 
 def send_malformed(sock, malformed):
-    """What no request may look like is told so."""
+    """Respond to a malformed or oversized request."""
     failure = failures.BodyMalformed(malformed.cause)
     if malformed.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
         failure = failures.BodyOversized(malformed.limit_bytes)
@@ -101,13 +111,13 @@
 
 
 def send_failure(sock, status, failure, retry_s=None):
-    """A short answer from the door itself, without waiting for anybody."""
-    again = f"Retry-After: {retry_s}\r\n" if retry_s else ""
-    words = HTTPStatus(status).phrase
+    """Send a short failure response without blocking; dropped if the socket isn't writable."""
+    retry_after = f"Retry-After: {retry_s}\r\n" if retry_s else ""
+    phrase = HTTPStatus(status).phrase
     data = json.dumps(failures.as_json(failure)).encode() + b"\n"
     try:
         sock.send(
-            f"HTTP/1.1 {status} {words}\r\n{again}Content-Type: application/json\r\n"
+            f"HTTP/1.1 {status} {phrase}\r\n{retry_after}Content-Type: application/json\r\n"
             f"Connection: close\r\nContent-Length: {len(data)}\r\n\r\n".encode()
             + data,
             socket.MSG_DONTWAIT,
@@ -117,7 +127,8 @@
 
 
 def close_connection(sock):
-    """Close so that what was answered arrives, even if not all was read."""
+    """Close a connection so that the response arrives even if input was left unread: unread
+    input would make the kernel reset the connection."""
     try:
         sock.setblocking(False)
         sock.shutdown(socket.SHUT_WR)
@@ -130,8 +141,9 @@
 
 
 def peek(sock):
-    """b"" once the other end has closed; None or data otherwise.  It never waits: a socket
-    with a time limit would, in spite of its flags, if there were nothing to read."""
+    """b"" if the peer has closed the connection; otherwise None, or the next byte, which
+    stays unread.  Polls first: with a timeout set on the socket, recv would block despite
+    MSG_DONTWAIT if there were nothing to read."""
     ready = select.poll()
     ready.register(sock, select.POLLIN)
     try:
--- a/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a caller, from its first byte to its end."""
+"""State of one accepted connection in the HTTP listener."""
 
 import socket
 from dataclasses import dataclass, field
@@ -8,7 +8,11 @@
 
 @dataclass
 class CallerConnection:
-    """One connection: what came of its request, and what it waits for."""
+    """A connection, its request, and the callbacks of a request that waits.
+
+    `request` is a `request_framing.Complete` once the request has arrived; `request_class` and
+    `thread_share` are those of `admission`; `finish` and `on_disconnect` are set while the
+    request waits; `registered` tells whether the event loop watches the socket."""
 
     sock: socket.socket
     address: tuple
--- a/libs/pulleyhitch/src/pulleyhitch/http_handler.py
+++ b/libs/pulleyhitch/src/pulleyhitch/http_handler.py
@@ -1,7 +1,7 @@
-"""A request that the door has read already, handed to werkzeug when its time comes.
+"""Runs WSGI applications, through werkzeug, on requests that the listener has already read.
 
-What werkzeug writes in small parts leaves in one piece at each flush, so that an
-event of a stream is one packet.
+Small writes are buffered until werkzeug flushes, so that one event of a stream leaves in one
+packet.
 """
 
 import collections
@@ -11,15 +11,15 @@
 
 __all__ = ["RequestHandler", "ServerContext", "REPEATED_FIELDS"]
 
-# Where the environment tells which header fields stand more than once, in small letters:
-# their values are joined by commas there, and look like one.
+# WSGI environment key: lower-case names of the header fields that occur more than once.  WSGI
+# joins their values by commas, so that they look like one field.
 REPEATED_FIELDS = "pulleyhitch.repeated-fields"
 
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
 class _SocketWriter(io.RawIOBase):
-    """What werkzeug writes to: the socket, whole or with an error."""
+    """Buffered writer to the socket; a flush sends everything or raises."""
 
     def __init__(self, sock):
         self._sock, self._buffer = sock, []
@@ -40,8 +40,10 @@
 
 
 class RequestHandler(WSGIRequestHandler):
-    """A request that the door has read already, answered when its time comes.
-    `target` is the request's own, byte for byte."""
+    """Handles a request that the listener has read; `run_wsgi` sends the response.
+
+    `parsed` tells whether the head was understood; `wsgi_environ` is the WSGI environment, and
+    `target` the request target exactly as sent."""
 
     protocol_version = "HTTP/1.1"
 
@@ -58,7 +60,7 @@
             self.wsgi_environ = self._environ(self.request.request.body)
 
     def _environ(self, body):
-        """The facts for the application; the body has been taken out of its chunks."""
+        """The WSGI environment; the body is already decoded from chunks."""
         environ = super().make_environ()
         environ.pop("HTTP_TRANSFER_ENCODING", None)
         environ.pop("wsgi.input_terminated", None)
@@ -69,7 +71,7 @@
         return environ
 
     def finish(self):
-        """What could not be parsed is told now; the door closes the socket."""
+        """Flush the error response to an unparsed request; the listener closes the socket."""
         if not self.parsed:
             self.wfile.flush()
 
@@ -77,11 +79,11 @@
         return self.wsgi_environ
 
     def log(self, type, message, *args):
-        """Requests are not logged line by line; the ring has what matters."""
+        """No access log: the log ring records the events that matter."""
 
 
 class ServerContext:
-    """The few facts that werkzeug's handler asks of a server."""
+    """The attributes that werkzeug's request handler reads from its server."""
 
     ssl_context, passthrough_errors = None, False
     multithread, multiprocess = True, False
--- a/libs/pulleyhitch/src/pulleyhitch/listener.py
+++ b/libs/pulleyhitch/src/pulleyhitch/listener.py
@@ -1,11 +1,11 @@
-"""The door: connections wait here and hold no thread until they are worth one.
+"""HTTP listener: accepts connections and gives threads to complete requests only.
 
-One thread watches every open connection.  A request that is whole gets a thread
-from the part of its class, or of a lower one that has some free; if there is
-none it is refused at once, so a crowd of one class never shuts out a higher.
-A task that has to wait for its model gives its thread back and stays here with
-its socket until its fate is known or its caller leaves.  All is bounded: open
-connections, bytes held, and the time that a request may take to arrive.
+One event loop watches every open connection.  A complete request gets a thread from the
+share of its class, or from a lower share that has free threads.  If none becomes free soon it
+is refused, so that a flood of one class never starves a higher one.  A request that has to
+wait (for its model, say) releases its thread; its connection stays with the event loop until
+the result is known or the caller disconnects.  Open connections, buffered bytes and the time
+in which a request must arrive are all bounded.
 """
 
 import queue
@@ -28,10 +28,12 @@
 
 
 class Listener:
-    """`run` lets callers in until `stop`.  `begin(caller)` runs on a thread of the
-    caller's part; it returns None, or (future, finish, left) for a task that
-    waits: `finish` gets a thread once the future is there, `left` is called if
-    the caller leaves before."""
+    """Accepts connections in `run` until `stop` is called.
+
+    `begin(caller)` runs on a thread of the request's share.  It returns None if the request
+    is answered, or (future, finish, on_disconnect) if it has to wait: `finish(result)` gets a
+    thread once the future is done, `on_disconnect()` is called if the caller disconnects
+    first.  `classify(data)` returns the class of a request, as `admission.classify` does."""
 
     def __init__(
         self,
@@ -68,10 +70,12 @@
         self._stopping, self._accepting = False, True
 
     def stop(self):
+        """Stop accepting; `run` returns once every accepted request is answered."""
         self._stopping = True
         self._run_on_loop(lambda: None)
 
     def run(self):
+        """Run the event loop until `stop` was called and nothing is pending."""
         while not (self._stopping and self.empty()):
             if self._stopping and self._accepting:
                 self._stop_accepting()
@@ -87,7 +91,7 @@
             self._enforce_timeouts(time.monotonic())
 
     def empty(self):
-        """Whether nobody who was let in still waits for an answer."""
+        """Whether the listener has stopped accepting and no request is pending."""
         return (
             self._stopping
             and not self._accepting
@@ -95,14 +99,14 @@
         )
 
     def _stop_accepting(self):
-        """Let in who has come already, then nobody any more."""
+        """Accept the connections of the backlog, then close the server socket."""
         self._accept()
         self._accepting = False
         self._selector.unregister(self._server_socket)
         self._server_socket.close()
 
     def _run_on_loop(self, action):
-        """Have the door's own thread do something."""
+        """Run `action` on the thread of the event loop."""
         self._actions.put(action)
         try:
             self._wakeup_sender.send(b"!", socket.MSG_DONTWAIT)
@@ -125,7 +129,7 @@
             self._register(caller)
 
     def _close_oldest_idle(self):
-        """Room for one more: whoever has been silent longest goes."""
+        """Make room for a connection by closing the one that has been idle longest."""
         idle = [c for c in self._connections.values() if not c.request_class and not c.data]
         if not idle:
             return False
@@ -154,29 +158,29 @@
                 self._on_disconnect(caller)
             return
         try:
-            got = caller.sock.recv(1 << 18)
+            chunk = caller.sock.recv(1 << 18)
         except BlockingIOError:
             return
         except OSError:
             self._close(caller)
             return
-        caller.data += got
-        self._buffered_bytes += len(got)
+        caller.data += chunk
+        self._buffered_bytes += len(chunk)
         limit_bytes = self._policy.body_limit_of(caller.data)
-        self._dispatch(caller, admission.parse_first_request(caller.data, limit_bytes), not got)
+        self._dispatch(caller, admission.parse_first_request(caller.data, limit_bytes), not chunk)
 
-    def _dispatch(self, caller, measured, ended):
-        """Only a whole request goes on: what was cut off or can't be read is nobody's."""
-        if isinstance(measured, request_framing.Complete):
-            caller.request = measured
+    def _dispatch(self, caller, parsed, at_end):
+        """Admit a complete request; reject a truncated or malformed one."""
+        if isinstance(parsed, request_framing.Complete):
+            caller.request = parsed
             self._admit(caller)
-        elif isinstance(measured, request_framing.Malformed):
-            self._reject(caller, measured)
-        elif ended and caller.data:
+        elif isinstance(parsed, request_framing.Malformed):
+            self._reject(caller, parsed)
+        elif at_end and caller.data:
             self._reject(
-                caller, request_framing.Malformed(self._policy.cut_short_status, "cut short")
+                caller, request_framing.Malformed(self._policy.truncated_status, "cut short")
             )
-        elif ended:
+        elif at_end:
             self._close(caller)
         elif self._buffered_bytes > _BUFFER_LIMIT_BYTES:
             self._refuse(caller, "memory", 2)
@@ -186,14 +190,14 @@
         self._close(caller)
 
     def _on_disconnect(self, caller):
-        """The caller has left: told once, and only while its task still waits."""
+        """Report the disconnect, at most once, and only while the request still waits."""
         with self._lock:
             on_disconnect, caller.on_disconnect = caller.on_disconnect, None
         if on_disconnect is not None:
             on_disconnect()
 
     def _admit(self, caller):
-        """A whole request gets a thread, or waits a moment for one."""
+        """Give a complete request a thread, or queue it for one."""
         self._unregister(caller)
         caller.request_class, caller.since_s = self._classify(caller.data), time.monotonic()
         if not self._start(caller):
@@ -202,13 +206,13 @@
                 key=lambda c: (admission.PRIORITIES[c.request_class], c.since_s)
             )
             if len(self._thread_queue) > 2 * sum(self._thread_shares.values()):
-                last = self._thread_queue.pop()
-                self._refuse(last, "threads", admission.RETRY_AFTER_S[last.request_class])
+                lowest = self._thread_queue.pop()
+                self._refuse(lowest, "threads", admission.RETRY_AFTER_S[lowest.request_class])
 
     def _start(self, caller):
-        """A thread of its own part, or of a lower one that has some free."""
+        """Start the request on a thread of its own share or of a lower one, if one is free."""
         with self._lock:
-            part = next(
+            share = next(
                 (
                     p
                     for p in admission.USABLE_SHARES[caller.request_class]
@@ -216,10 +220,10 @@
                 ),
                 None,
             )
-            if part is None:
+            if share is None:
                 return False
-            self._free_threads[part] -= 1
-        caller.thread_share = part
+            self._free_threads[share] -= 1
+        caller.thread_share = share
         caller.sock.setblocking(True)
         caller.sock.settimeout(self._request_timeout_s)
         self._pool.submit(self._serve, caller)
@@ -260,7 +264,8 @@
             self._run_on_loop(lambda: self._close(caller))
 
     def _enforce_timeouts(self, now_s):
-        """Requests that don't get whole in time, or a thread soon, are given up."""
+        """Refuse requests that waited too long for a thread; close connections whose request
+        did not arrive in time."""
         for caller in [
             c for c in self._thread_queue if now_s - c.since_s > self._request_timeout_s / 8
         ]:
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -1,8 +1,9 @@
-"""A node's core: every event goes in here, every effect comes out.
+"""A node's core: a state machine that takes events and returns effects.
 
-A counter routes and, holding grants, places; a depot keeps the log.  Both
-follow the feed, know their fellows and answer operators.  The same function
-runs in real processes and in the simulator.
+It joins the libraries.  There are two roles: a counter routes requests and, as long as it holds
+leases of shards, places models; a depot keeps a replica of the log.  Both follow the feed (the
+stream of committed log records), exchange heartbeats with peers and serve operators.  The same
+`handle` runs in real processes and in the simulator.
 """
 
 import random
@@ -11,7 +12,7 @@
 from membership import greetings, peer_table
 from placement import floor as floors
 from replication import depot as depots
-from replication import follower as followers
+from replication import follower as follows
 from routing import engine_lives, refusal_notes, router
 from transport import events, messages
 from transport.effects import Finished, Send
@@ -21,9 +22,11 @@
 
 __all__ = ["Node", "make", "handle", "leader_address"]
 
+# Part of `serviceBackMs` after which a silent peer counts as lost.
 _PEER_LOST_RATIO = 0.25
-# How long a node that stops waits for answers that are under way.
+# How long a stopping node waits for pending responses.
 _PENDING_ANSWERS_MS = 1000.0
+# Messages that the log replica handles; all others go to the node itself.
 _DEPOT_MESSAGES = (
     messages.AppendEntries,
     messages.AppendReply,
@@ -46,10 +49,18 @@
 
 @dataclass
 class Node:
+    """State of a node.
+
+    `card` is its identity as sent to peers, `peers` its view of the membership, `follower` its
+    position in the feed, `cluster` the registry and ledgers built from the feed, `ownership`
+    the shards it holds, `router` and `quotas` the state of requests, and `operator` that of
+    operators' requests.  `depot` is the log replica, None on a counter.  `leaving` means that
+    it is draining and reports itself not ready, `closing` that it takes no new work."""
+
     card: messages.Card
     config: configs.Config
     peers: peer_table.PeerTable
-    follower: followers.Follow
+    follower: follows.Follow
     cluster: floors.Floor
     ownership: shard_ownership.ShardOwnership
     router: router.Router
@@ -66,8 +77,8 @@
 
 
 def make(config, incarnation, seed, group=None, dialect=None):
-    """A fresh node; `group` is a depot's opened replication group, `dialect` the
-    platform's shapes, if it has its own."""
+    """A new node.  `group` is a depot's opened replication group; `dialect` adapts the formats
+    of a platform, None for the product's own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
     card = messages.Card(
@@ -92,7 +103,7 @@
             times.ping_ms * 1.5,
             _PEER_LOST_RATIO * config.bounds.serviceBackMs,
         ),
-        followers.Follow(),
+        follows.Follow(),
         floors.Floor(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
         router.Router(configs.routing_settings(config)),
@@ -109,10 +120,12 @@
 
 
 def leader_address(node):
+    """Address of the log's leader as far as known, or an empty string."""
     return node.peers.group.leader
 
 
 def handle(node, now_ms, event):
+    """Apply one event and return the effects to carry out."""
     if isinstance(event, events.Received):
         effects = _handle_message(node, now_ms, event.sender, event.message)
     elif isinstance(event, events.Asked):
@@ -140,14 +153,14 @@
         event.message, _DEPOT_MESSAGES + (messages.Ask,)
     ):
         return []
-    served = node.depot.writer.serving
+    was_serving = node.depot.writer.serving
     effects = depots.handle(node.depot, now_ms, event, node.peers.cards, node.peers.group.group)
     group = node.depot.group
     if node.card.empty and group.group:
         node.card = messages.Card(**{**vars(node.card), "empty": False})
         node.peers.card = node.depot.card = node.card
     peer_table.learn_group(node.peers, depots.group_card(group), node.card.address)
-    if node.depot.writer.serving and not served:
+    if node.depot.writer.serving and not was_serving:
         effects += peer_table.announce(node.peers, now_ms)
     return effects
 
@@ -175,38 +188,45 @@
 
 
 def _query_feed(node, now_ms):
-    """Ping the log node; when it is silent, ask around, and ask fellows too."""
+    """Request feed records from the leader.  If it is silent or unknown, look for it by
+    greeting the depots in turn, and request records from other counters too."""
     if now_ms - node.follower.asked_ms < node.times.ping_ms:
         return []
-    address = leader_address(node)
+    query_address = leader_address(node)
     silent = (
         now_ms - max(node.follower.direct_ms, node.membership_learned_ms) > 2 * node.times.ping_ms
     )
     effects = []
     node.feed_query_count += 1
-    if silent or not address:
-        depot_addresses = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
-        if depot_addresses:
-            target = depot_addresses[node.feed_query_count % len(depot_addresses)]
-            effects.append(Send(target, greetings.greeting(node.peers, True, now_ms, target)))
-            address = address if node.feed_query_count % 2 and address else target
+    if silent or not query_address:
+        known_depots = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
+        if known_depots:
+            depot_address = known_depots[node.feed_query_count % len(known_depots)]
+            effects.append(
+                Send(depot_address, greetings.greeting(node.peers, True, now_ms, depot_address))
+            )
+            query_address = (
+                query_address if node.feed_query_count % 2 and query_address else depot_address
+            )
         for name in peer_table.watched(node.peers)[:2]:
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
-                    followers.ask(
+                    follows.ask(
                         node.follower, now_ms, operator_requests.requester_card(node), card.address
                     )
                 )
-    if address:
+    if query_address:
         effects.append(
-            followers.ask(node.follower, now_ms, operator_requests.requester_card(node), address)
+            follows.ask(
+                node.follower, now_ms, operator_requests.requester_card(node), query_address
+            )
         )
     return effects
 
 
 def _retry_waiting(node, now_ms):
-    """Those in line try again; whom there is to share with matters only to them."""
+    """Let waiting requests try again for a place on an engine."""
     engine_lives.notice(node.router, now_ms, node.cluster)
     if not any(task.waiting for task in node.router.tasks.values()):
         return []
@@ -214,7 +234,7 @@
         node.router,
         now_ms,
         node.cluster,
-        followers.age(node.follower, now_ms),
+        follows.age(node.follower, now_ms),
         operator_requests.routing_peers(node, now_ms),
     )
 
@@ -227,31 +247,31 @@
 
 def _handle_message(node, now_ms, sender, message):
     if isinstance(message, messages.Greet):
-        before = node.peers.group
+        previous_group = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
-        if node.peers.group != before:
+        if node.peers.group != previous_group:
             node.membership_learned_ms = now_ms
         return effects
     if isinstance(message, messages.Mark):
-        followers.on_mark(node.follower, message)
-        return followers.relay(node.follower, now_ms) + operator_requests.answer_confirmed_reads(
+        follows.on_mark(node.follower, message)
+        return follows.relay(node.follower, now_ms) + operator_requests.answer_confirmed_reads(
             node, now_ms
         )
     if isinstance(message, messages.FeedItems):
-        effects = _apply_feed_update(node, now_ms, followers.on_items(node.follower, message))
-        effects += followers.relay(node.follower, now_ms)
+        effects = _apply_feed_update(node, now_ms, follows.on_items(node.follower, message))
+        effects += follows.relay(node.follower, now_ms)
         return effects + operator_requests.answer_confirmed_reads(node, now_ms)
     if isinstance(message, messages.FeedChunk):
-        effects, feed_update = followers.on_chunk(
+        effects, feed_update = follows.on_chunk(
             node.follower, now_ms, node.card.name, sender, message
         )
         effects += _apply_feed_update(node, now_ms, feed_update)
         return effects + operator_requests.answer_confirmed_reads(node, now_ms)
     if isinstance(message, messages.FeedChunkReply):
-        return followers.on_chunk_reply(node.follower, now_ms, sender, message)
+        return follows.on_chunk_reply(node.follower, now_ms, sender, message)
     if isinstance(message, messages.Ask):
         if node.depot is None:
-            return followers.on_relay_ask(node.follower, now_ms, sender, message)
+            return follows.on_relay_ask(node.follower, now_ms, sender, message)
         return []
     if isinstance(message, messages.Durable):
         return shard_ownership.on_durable(
@@ -283,15 +303,17 @@
 
 
 def _delay_finished(node, now_ms, effects):
-    """Hold `Finished` back while somebody waits for an answer, though not for long."""
-    waited = now_ms - node.closing_ms > _PENDING_ANSWERS_MS
-    if waited or not (node.operator.pending or shard_ownership.has_pending_answers(node.ownership)):
+    """Hold `Finished` back while responses are pending, for a bounded time."""
+    timed_out = now_ms - node.closing_ms > _PENDING_ANSWERS_MS
+    if timed_out or not (
+        node.operator.pending or shard_ownership.has_pending_answers(node.ownership)
+    ):
         return effects
     return [effect for effect in effects if not isinstance(effect, Finished)]
 
 
 def _begin_shutdown(node, now_ms):
-    """Orderly stop: no new work, leases back with a successor named."""
+    """Begin an orderly stop: take no new work, and release leases, naming successors."""
     node.closing, node.closing_ms = True, now_ms
     names = [
         n
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -1,8 +1,9 @@
-"""A process: the owner thread that feeds the core and carries out its effects.
+"""The process around a node's core: threads, timers, sockets and the disk.
 
-Everything reaches the owner through one queue.  Sockets belong to pipe
-threads, callers to HTTP threads, engine calls and log writes to pools; they
-post events here and never touch the core's state.
+One thread, the owner, passes events to the core (`node.handle`) and applies the effects that
+it returns.  All events reach it through one queue.  Connections to peers, HTTP requests,
+calls to engines and writes of the log run on other threads, which put events into the queue
+and never touch the core's state.
 """
 
 import queue
@@ -28,22 +29,26 @@
 __all__ = ["Process", "CannotStart"]
 
 _TICKS_PER_PING = 6
+# Part of the election timeout, before jitter, after which a started depot may campaign.
 _FIRST_ELECTION_RATIO = 0.3
-# What an orderly stop leaves for messages and answers under way.
+# Time in an orderly stop for the last messages and responses.
 _FINAL_MESSAGES_S = 0.15
 _COUNTER_STOP_S = 1.0
-# How often connections that are past their time are looked for.
+# Interval between sweeps of idle connections to engines.
 _SWEEP_INTERVAL_MS = 5000.0
 
 
 class CannotStart(Exception):
+    """The process can't start; `failure` is the typed cause."""
+
     def __init__(self, failure):
         super().__init__(failure.tag)
         self.failure = failure
 
 
 class Process:
-    """`post` and `ask` put an event to the owner and get its word, later or now."""
+    """A running node.  `submit`, `notify` and `request` pass requests to the core by verb; the
+    outcome comes from the core's `Reply` effects."""
 
     def __init__(self, config, dialect=None):
         self.config = config
@@ -69,8 +74,8 @@
                 self._log_event,
                 configs.times(config).elect_ms,
             )
-        except OSError as failed:
-            raise CannotStart(failures.AddressTaken(config.listen)) from failed
+        except OSError as error:
+            raise CannotStart(failures.AddressTaken(config.listen)) from error
         self._owner = threading.Thread(target=self._run_owner, name="owner", daemon=True)
 
     def _open_disk(self, config):
@@ -78,8 +83,8 @@
             return None, None
         try:
             disk = disks.Disk(config.folder, 8 << 20)
-        except disks.DiskFailed as failed:
-            raise CannotStart(failed.failure) from failed
+        except disks.DiskFailed as error:
+            raise CannotStart(error.failure) from error
         identity = disk.loaded.files.get("identity")
         if identity is None:
             identity = secrets.token_hex(8).encode()
@@ -97,17 +102,18 @@
         )
         return disk, group
 
-    def _log_event(self, what, facts):
-        self.ring.note(what, facts)
+    def _log_event(self, event_name, facts):
+        self.ring.note(event_name, facts)
 
     def start(self):
+        """Start the owner thread."""
         self._owner.start()
         return self
 
     def close(self):
-        """Orderly: give leases, lead and membership away, then stop.
+        """Stop in order: release leases, leadership and membership, then end the owner.
 
-        Whoever waits for an answer that is there by then gets it.
+        Requests whose response is ready by then still get it.
         """
         self._queue.put(events.Closing())
         if self._node.depot is not None:
@@ -120,10 +126,11 @@
         self._queue.put(events.Tick())
 
     def stopped(self):
+        """Whether the owner has stopped, by `close` or after a failure."""
         return self._stopped.is_set()
 
     def submit(self, token, verb, body):
-        """Put an event to the owner; the future gets its word."""
+        """Pass a request to the core; returns the future of its outcome."""
         future = Future()
         with self._lock:
             self._futures[token] = future
@@ -131,10 +138,12 @@
         return future
 
     def notify(self, token, verb, body):
-        """An event whose answer goes to whoever waits on the token already."""
+        """Pass a request on without a future of its own.  A reply to it goes to the future
+        that is registered under the token, if any."""
         self._queue.put(events.Asked(token, verb, body))
 
     def request(self, token, verb, body, wait_s=600.0):
+        """Pass a request to the core and wait for its outcome; MajorityLost on a timeout."""
         future = self.submit(token, verb, body)
         try:
             return future.result(timeout=wait_s)
@@ -142,8 +151,8 @@
             return self._abandon(token, future)
 
     def _abandon(self, token, future):
-        """Nobody waits any more: a late word has nowhere to go.  One that came at the very
-        end still counts."""
+        """Drop the future after a timeout, so that a late outcome is discarded.  An outcome
+        that arrived just before is still returned."""
         with self._lock:
             if self._futures.get(token) is future:
                 del self._futures[token]
@@ -151,8 +160,9 @@
         return future.result()
 
     def _run_owner(self):
-        """Events as they come, and a tick whenever one is due, however many wait.
-        After a time in which we did not run, what came meanwhile goes first."""
+        """Handle events as they arrive, and a tick whenever one is due, however long the queue
+        is.  After a pause of the process, the events queued meanwhile go before the tick, so
+        that timeouts don't fire although the messages are there."""
         tick_ms = configs.times(self.config).ping_ms / _TICKS_PER_PING
         next_ms = _now()
         while not self._stopped.is_set():
@@ -174,7 +184,7 @@
             self._handle_event(events.Tick())
 
     def _sweep(self, now_ms):
-        """Connections to engines that nobody uses any more are closed also at rest."""
+        """Close idle connections to engines, also when no requests come in."""
         if now_ms >= self._sweep_ms:
             self._sweep_ms = now_ms + _SWEEP_INTERVAL_MS
             self._calls.submit(self.pool.sweep)
@@ -183,12 +193,12 @@
         try:
             for effect in nodes.handle(self._node, _now(), event):
                 self._apply_effect(effect)
-        except disks.DiskFailed as failed:
-            self._fail(failed.failure)
-        except OSError as failed:
-            self._fail(failures.DiskUntrusted("data folder", str(failed.strerror)))
-        except Exception as failed:
-            self._fail(failures.CoreBroke(type(event).__name__, repr(failed)))
+        except disks.DiskFailed as error:
+            self._fail(error.failure)
+        except OSError as error:
+            self._fail(failures.DiskUntrusted("data folder", str(error.strerror)))
+        except Exception as error:
+            self._fail(failures.CoreBroke(type(event).__name__, repr(error)))
             raise
 
     def _fail(self, failure):
@@ -219,19 +229,21 @@
             self.ring.note("dump", {}, why=effect.why)
 
     def _write(self, effect):
-        last = effect.entries[-1]
-        claim = self._disk.reserve(effect)
+        last_entry = effect.entries[-1]
+        reservation = self._disk.reserve(effect)
         if effect.inline:
-            took_ms = self._disk.put(claim)
-            self._handle_event(events.Written(last.index, last.term, took_ms))
+            took_ms = self._disk.put(reservation)
+            self._handle_event(events.Written(last_entry.index, last_entry.term, took_ms))
         else:
-            self._writes.submit(self._write_in_background, claim, last)
+            self._writes.submit(self._write_in_background, reservation, last_entry)
 
-    def _write_in_background(self, claim, last):
+    def _write_in_background(self, reservation, last_entry):
         try:
-            self._queue.put(events.Written(last.index, last.term, self._disk.put(claim)))
-        except OSError as failed:
-            self._fail(failures.DiskUntrusted("log", str(failed.strerror)))
+            self._queue.put(
+                events.Written(last_entry.index, last_entry.term, self._disk.put(reservation))
+            )
+        except OSError as error:
+            self._fail(failures.DiskUntrusted("log", str(error.strerror)))
 
     def _call(self, effect):
         request_body = {**effect.body, "engine": effect.engine, "holder": self.config.name}
@@ -245,8 +257,10 @@
             request = self.dialect.call_ask(effect.url, effect.verb, request_body)
             exchange = passing.call(self.pool, request, effect.timeout_ms, effect.not_after_ms)
             body = self.dialect.read_call(effect.verb, request_body, exchange.code, exchange.data)
-        kept = exchange.head is not None and exchange.head.kept
-        self._queue.put(events.Called(effect.id, exchange.code, body or {}, exchange.begun, kept))
+        connection_reused = exchange.head is not None and exchange.head.kept
+        self._queue.put(
+            events.Called(effect.id, exchange.code, body or {}, exchange.begun, connection_reused)
+        )
 
 
 def _now():
--- a/libs/pulleyhitch/src/pulleyhitch/request_framing.py
+++ b/libs/pulleyhitch/src/pulleyhitch/request_framing.py
@@ -1,7 +1,7 @@
-"""Where one HTTP/1.1 request ends in the bytes of a connection (RFC 9112, 2 to 7).
+"""Framing of HTTP/1.1 requests: where a request ends in a byte stream (RFC 9112, 2 to 7).
 
-Strict on purpose: a request whose length can be read in two ways, whose head is not
-whole, or that holds a line no parser agrees on is refused and never passed on.
+Strict, against request smuggling: a request with an ambiguous length, a malformed head, or a
+line that parsers read differently is refused and never forwarded.
 """
 
 import re
@@ -10,7 +10,7 @@
 __all__ = ["Complete", "Incomplete", "Malformed", "parse_request", "HEAD_LIMIT_BYTES"]
 
 HEAD_LIMIT_BYTES = 32 << 10
-# A chunk's size line, with its extension; longer ones are refused.
+# Longest size line of a chunk, with its extension.
 _SIZE_LINE_LIMIT_BYTES = 256
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True)
 class Incomplete:
-    """More bytes must come before anything can be said."""
+    """The request is not complete yet."""
 
 
 @dataclass(frozen=True)
 class Complete:
-    """One whole request; bytes after it belong to nobody."""
+    """One complete request; bytes after it are ignored."""
 
     head: bytes
     body: bytes
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Malformed:
-    """What no request may look like, the status that says so, and the limit if one is passed."""
+    """A request that must be refused: status, cause, and the limit if it exceeds one."""
 
     status: int
     cause: str
@@ -66,7 +66,7 @@
 
 
 def _body_length(head):
-    """The body's bytes, None if it comes in chunks, or Malformed."""
+    """Length of the body in bytes, None if it is chunked, or Malformed."""
     found = {b"content-length": [], b"transfer-encoding": [], b"host": []}
     for name, value in _FRAMING_FIELD.findall(head):
         found[name.lower()].append(value.strip(b" \t"))
@@ -81,12 +81,12 @@
 
 
 def _chunked(data, at, head, body_limit_bytes):
-    """A body in chunks that begins at `at`."""
+    """Parse a chunked body that begins at `at`."""
     spans, size = [], 0
     while True:
         line = _SIZE_LINE.match(data, at, at + _SIZE_LINE_LIMIT_BYTES)
         if line is None:
-            return _line_missing(data, at)
+            return _no_size_line(data, at)
         count, at = int(line[1], 16), line.end()
         if count == 0:
             return _trailers(data, at, head, spans)
@@ -101,7 +101,8 @@
         at += count + 2
 
 
-def _line_missing(data, at):
+def _no_size_line(data, at):
+    """Whether a missing size line is malformed or has only not arrived yet."""
     rest = bytes(data[at : at + _SIZE_LINE_LIMIT_BYTES])
     if b"\n" in rest or len(rest) == _SIZE_LINE_LIMIT_BYTES:
         return Malformed(400, "chunk size")
@@ -109,7 +110,7 @@
 
 
 def _trailers(data, at, head, spans):
-    """What follows the last chunk is read over and not passed on."""
+    """Parse the trailer section, which is not forwarded."""
     if _TRAILERS.match(data, at):
         return Complete(head, b"".join(bytes(data[start:end]) for start, end in spans))
     if len(data) - at > HEAD_LIMIT_BYTES or data.find(_HEAD_END, at) >= 0:
