--- a/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
@@ -8,11 +8,7 @@
 
 @dataclass
 class CallerConnection:
-    """A connection, its request, and the callbacks of a request that waits.
-
-    `request` is a `request_framing.Complete` once the request has arrived; `request_class` and
-    `thread_share` are those of `admission`; `finish` and `on_disconnect` are set while the
-    request waits; `registered` tells whether the event loop watches the socket."""
+    """A connection, its request, and the callbacks of a request that waits."""
 
     sock: socket.socket
     address: tuple
--- a/libs/pulleyhitch/src/pulleyhitch/caller_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_requests.py
@@ -1,8 +1,7 @@
-"""Passages: callers' own requests, routed by host and path and passed on unchanged.
+"""Callers' requests through the gateway, routed by host and path and proxied unchanged.
 
-What a caller's request asks for is told by the platform's adapter; which route
-takes it, which service of its split, how long it may be held and how often it
-may be sent are the layout's.
+The platform's adapter extracts the facts of a request.  The layout determines its route, its
+service out of the route's split, how long it may be held, and how many attempts it may have.
 """
 
 import json
@@ -19,13 +18,14 @@
 
 __all__ = ["begin", "ready", "report_demand"]
 
+# Parts of a prompt opening that make up a routing key.
 _OPENING_PARTS = 2
-# The class of routes that tell none.
+# Rank of routes that set none.
 _DEFAULT_RANK = 5
 
 
 def ready(node, now_ms):
-    """Whether callers may come: not stopping, and the layout and engines are known."""
+    """Readiness: the node isn't stopping, and knows the layout and the engines."""
     return (
         not node.closing
         and not node.leaving
@@ -36,7 +36,7 @@
 
 
 def begin(node, now_ms, token, facts, peers):
-    """A caller's request has come in; its first step is told to its thread."""
+    """Start a caller's request; its first outcome comes as a Reply, now or later."""
     if node.closing and not facts.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
     if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
@@ -64,14 +64,14 @@
 
 
 def _credential(facts, route):
-    """What a request shows of its sender; its key itself is kept no longer."""
+    """Credential of a request; only a digest of the API key is kept."""
     key = facts.pop("key", b"")
     return tenants.Credential(tenants.digest(key), route.get("public", False))
 
 
 def _unless_stale(node, age_ms, failure):
-    """Only a node that is sure of the configuration says that there is no such route, or that
-    a key is nobody's: another may know a newer one that has it."""
+    """`failure`, or Stale if this node's configuration may be out of date: a newer one may
+    have the route or the key that is unknown here."""
     bound_ms = min(node.router.terms.staleMs, node.config.bounds.layoutMs)
     if age_ms > bound_ms:
         return failures.Stale(int(bound_ms), int(age_ms))
@@ -107,10 +107,9 @@
 
 
 def report_demand(node, now_ms, holder_address):
-    """Tell the placers, in few bytes, what callers have been asking for, and which engines
-    answered them badly."""
-    unreported = node.router.wanted or node.router.untold_ends
-    if not unreported or now_ms - node.operator.demand_reported_ms < 2 * node.times.ping_ms:
+    """Report to the placers which items callers requested, and the outcomes of engines."""
+    has_reports = node.router.wanted or node.router.untold_ends
+    if not has_reports or now_ms - node.operator.demand_reported_ms < 2 * node.times.ping_ms:
         return []
     node.operator.demand_reported_ms = now_ms
     reports = {}
@@ -121,13 +120,13 @@
     for name, outcome in engine_outcomes.take_untold(node.router, now_ms, engines).items():
         _for_shard(node, reports, engines[name]["service"])["outcomes"][name] = outcome
     return [
-        Send(to, Command("", shard, "", "wanted", json.dumps(report).encode()))
+        Send(address, Command("", shard, "", "wanted", json.dumps(report).encode()))
         for shard, report in reports.items()
-        if (to := holder_address(node, shard))
+        if (address := holder_address(node, shard))
     ]
 
 
 def _for_shard(node, reports, service):
-    """What is told the holder of a service's shard."""
+    """The report for the shard of a service."""
     shard = world.shard_of(service, node.config.shards)
     return reports.setdefault(shard, {"items": {}, "outcomes": {}})
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -1,8 +1,8 @@
-"""Commands on their way to the holder of a shard.
+"""Forwarding of commands to the lease holder of a shard.
 
-A command is offered again, under the same id, until the holder answers or its time is
-up; then the asker is told that there is no clear answer.  A node that no majority has
-confirmed anything to lately says so at once, so that its operator goes elsewhere.
+A command is resent, under the same id, until the holder answers or the deadline passes; then
+the client gets a failure that leaves the outcome open.  A node that is cut off from the
+majority fails fast, so that its operator tries another node.
 """
 
 import json
@@ -28,20 +28,21 @@
     "translate",
 ]
 
+# Pseudo shard whose holder is the leader of the log.
 LOG_SHARD = -1
 _CHANGE_VERBS = ("layout", "zone", "engines", "written")
-# What a holder says that hasn't decided: the command is offered again.
+# Failures of a holder that has not decided the command yet: it is resent.
 _RETRIED_FAILURES = ("no-holder", "edition-ahead")
-# Of the time in which service must be back: how long a command may go without a holder.
+# Part of `serviceBackMs` that a command may wait for a holder.
 _SERVICE_BACK_SHARE = 0.75
-# Of an operator's wait: how long a change may wait for the edition that it builds on.
+# Part of the deadline during which a change may wait for the edition that it builds on.
 _EDITION_WAIT_SHARE = 0.5
 _NO_CONTACT_MS = -1e11
 
 
 @dataclass(frozen=True)
 class CommandResult:
-    """A holder's answer to a command."""
+    """Result of a command or read: an HTTP status and a JSON body."""
 
     status: int
     body: dict
@@ -49,7 +50,7 @@
 
 @dataclass
 class PendingCommand:
-    """A command that no holder has answered yet."""
+    """A command without an answer so far; `token` is empty if no operator waits for it."""
 
     token: str
     shard: int
@@ -61,8 +62,8 @@
 
 
 def is_isolated(node, now_ms):
-    """Whether no majority has confirmed anything to this node for longer than a change of
-    leaders takes.  One that has only just started can't tell yet."""
+    """Whether no majority has confirmed this node's state for longer than an election takes.
+    False for a node that has just started, which can't tell yet."""
     longest_ms = 2 * (node.times.elect_ms + node.times.ping_ms)
     return (
         node.follower.current_ms > _NO_CONTACT_MS
@@ -71,7 +72,7 @@
 
 
 def answer_deadline(node, now_ms):
-    """When an operator who asks now must have an answer, clear or not."""
+    """When an operator's request that arrives now must be answered, decided or not."""
     bounds = node.config.bounds
     wait_ms = min(_SERVICE_BACK_SHARE * bounds.serviceBackMs, bounds.acknowledgeMs)
     if bounds.answerMs:
@@ -82,7 +83,7 @@
 
 
 def forward(node, now_ms, token, shard, verb, body):
-    """Offer an operator's command to the holder of its shard."""
+    """Send an operator's command to the holder of its shard."""
     id_ = _next_id(node)
     deadline_ms = answer_deadline(node, now_ms)
     edition_wait_end_ms = now_ms + _EDITION_WAIT_SHARE * (deadline_ms - now_ms)
@@ -101,8 +102,9 @@
 
 
 def _with_change_id(node, verb, body, id_):
-    """A change has an id.  One for a zone that has none of its operator's goes with the
-    zone's state here, so that a copy that comes late, after others, changes nothing."""
+    """Add a change id to a change without one.  A change of a zone also gets the zone's stamp
+    as known here, unless the operator gave one to expect, so that a delayed duplicate, after
+    later changes, has no effect."""
     if verb not in _CHANGE_VERBS or body.get("change"):
         return body
     body = {**body, "change": id_}
@@ -118,32 +120,32 @@
 
 
 def _send_to_holder(node, now_ms, pending, id_):
-    to = holder_address(node, pending.shard)
-    if not to:
+    address = holder_address(node, pending.shard)
+    if not address:
         return []
     pending.sent_ms = now_ms
     body_sent = pending.body
     if pending.verb == "written" and now_ms < pending.edition_wait_end_ms:
         body_sent = {**body_sent, "may_wait": True}
     body = json.dumps(body_sent).encode()
-    return [Send(to, Command(id_, pending.shard, node.card.address, pending.verb, body))]
+    return [Send(address, Command(id_, pending.shard, node.card.address, pending.verb, body))]
 
 
 def holder_address(node, shard):
-    """Where the holder of a shard is reached; empty if nobody knows."""
+    """Address of the lease holder of a shard, of the leader for LOG_SHARD; empty if unknown."""
     if shard == LOG_SHARD:
         return node.peers.group.leader
-    part = node.follower.state.shards.get(shard)
-    if part is None or not part.holder:
+    assignment = node.follower.state.shards.get(shard)
+    if assignment is None or not assignment.holder:
         return ""
-    if part.holder == node.card.name:
+    if assignment.holder == node.card.name:
         return node.card.address
-    card = node.peers.cards.get(part.holder)
+    card = node.peers.cards.get(assignment.holder)
     return card.address if card else ""
 
 
 def tick(node, now_ms):
-    """Offer again what has no answer yet; end what has waited long enough."""
+    """Resend commands without an answer; fail those past their deadline."""
     effects = []
     for id_, pending in list(node.operator.pending.items()):
         if now_ms >= pending.deadline_ms:
@@ -155,14 +157,14 @@
 
 
 def cancel(node, token):
-    """The asker has left: its command isn't offered any more."""
+    """Drop the commands of a client that has disconnected."""
     for id_, pending in list(node.operator.pending.items()):
         if pending.token == token:
             del node.operator.pending[id_]
 
 
 def on_answer(node, now_ms, message):
-    """The holder has answered; anything undecided is offered again."""
+    """Apply a holder's answer; an undecided command stays pending and is resent."""
     pending = node.operator.pending.get(message.id)
     if pending is None:
         return []
@@ -176,14 +178,14 @@
 
 
 def _is_stale_here(pending, body):
-    """Whether an order for a zone was turned away only because this node was behind."""
+    """Whether a change of a zone was refused only because this node's stamp was stale."""
     return body.get("failure") == "stamp-stale" and body.get("expected") == pending.body.get(
         "since"
     )
 
 
 def _retry_on_current(node, now_ms, pending, since):
-    """The same order on top of the zone's present state, if its operator still waits."""
+    """Repeat a change, under a new id, on top of the zone's current stamp."""
     id_ = _next_id(node)
     pending.body = {**pending.body, "change": id_, "since": since}
     return _add_pending(node, now_ms, id_, pending)
@@ -204,21 +206,22 @@
 
 
 def translate(node, now_ms, effects):
-    """Turn holds into commands and answers to commands into messages."""
-    out, remaining = [], list(effects)
+    """Replace the effects that cross nodes: a router's Hold becomes a command to a placer, a
+    Reply to another node's command becomes a message."""
+    translated, remaining = [], list(effects)
     while remaining:
         effect = remaining.pop(0)
         if isinstance(effect, tasks.Hold):
             remaining = _hold(node, now_ms, effect) + remaining
         elif isinstance(effect, Reply) and effect.token.startswith("cmd|"):
-            out.append(_command_answer(effect))
+            translated.append(_command_answer(effect))
         else:
-            out.append(effect)
-    return out
+            translated.append(effect)
+    return translated
 
 
 def _hold(node, now_ms, effect):
-    """A router's wish for the placer of a service, under an id of its own."""
+    """Send a router's request to the placer of the service's shard."""
     shard = effect.shard
     if shard < 0:
         shard = world.shard_of(effect.body["service"], node.config.shards)
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -1,15 +1,14 @@
-"""Config: what a process is told about itself, read and checked.
+"""Configuration of a process, read from a TOML file, from flags, or both (flags win).
 
-From a TOML file, from flags, or both (flags win).  The bounds are the promises
-made to users; every timeout in the system is a ratio of one of them, so there
-is one place to make a deployment slower or faster.
+The bounds are service levels that users rely on.  Every timeout in the system is a ratio of one
+of them, so that a deployment is made slower or faster in one place.
 """
 
 import tomllib
 from dataclasses import dataclass, field
 
 from marshmallow import RAISE, Schema, ValidationError, fields, validate, validates_schema
-from placement import state as dispatching
+from placement import state as placement_state
 from quotas import terms as quota_terms
 from replication.group import Times
 from routing import router
@@ -30,18 +29,20 @@
     r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$",
     error="not an IP number and port, like 10.0.0.5:7400",
 )
-_FEW, _MANY, _PER_CORE = 48, 192, 180
-# How long a depot that is told to stop may wait to be replaced: part of the platform's
-# patience, or as long as a stop takes anyway where none is told.
-_LEAVE, _LEAVE_MS = 0.6, 1000.0
-# How long a depot grants after the last mark of a majority, and how long it may leave an ask
-# for tenants' tokens unanswered, as parts of `serviceBackMs`.
-_TRUST, _SILENT = 2 / 3, 0.008
+_MIN_THREADS, _MAX_THREADS, _THREADS_PER_CORE = 48, 192, 180
+# How long a stopping depot may wait to be replaced in the membership: part of `graceMs`, or a
+# fixed time without one.
+_LEAVE_RATIO, _DEFAULT_LEAVE_MS = 0.6, 1000.0
+# Parts of `serviceBackMs`: how long a depot grants tokens after the last confirmation by a
+# majority, and after which time without a response it counts as silent.
+_TRUST_RATIO, _SILENT_RATIO = 2 / 3, 0.008
 _NAME = validate.Regexp(r"^[a-z0-9][a-z0-9._-]{0,62}$", error="not a name")
 
 
 @dataclass(frozen=True)
 class Bounds:
+    """Service levels, most in milliseconds; the names are those of the config file."""
+
     layoutMs: int = 2000
     leavingMs: int = 3000
     evacuateMs: int = 5000
@@ -57,6 +58,8 @@
 
 @dataclass(frozen=True)
 class Config:
+    """Settings of one process; the names are those of the config file."""
+
     name: str
     role: str
     zone: str
@@ -87,12 +90,12 @@
     providerPerS: float = 1.0
 
 
-class _Strict(Schema):
+class _StrictSchema(Schema):
     class Meta:
         unknown = RAISE
 
 
-class _BoundsSchema(_Strict):
+class _BoundsSchema(_StrictSchema):
     layoutMs = fields.Integer(strict=True, load_default=2000, validate=validate.Range(min=100))
     leavingMs = fields.Integer(strict=True, load_default=3000, validate=validate.Range(min=100))
     evacuateMs = fields.Integer(strict=True, load_default=5000, validate=validate.Range(min=100))
@@ -108,7 +111,7 @@
     quotaAllowance = fields.Float(load_default=20.0, validate=validate.Range(min=0))
 
 
-class _ConfigSchema(_Strict):
+class _ConfigSchema(_StrictSchema):
     name = fields.String(required=True, validate=_NAME)
     role = fields.String(required=True, validate=validate.OneOf(["depot", "counter"]))
     zone = fields.String(required=True, validate=_NAME)
@@ -158,67 +161,73 @@
             raise ValidationError("a depot needs a data folder", "folder")
 
 
-def _first(messages, path=""):
+def _first_error(messages, path=""):
     if isinstance(messages, dict):
         key, inner = sorted(messages.items(), key=lambda kv: str(kv[0]))[0]
-        return _first(inner, f"{path}.{key}" if path else str(key))
+        return _first_error(inner, f"{path}.{key}" if path else str(key))
     return path, str(messages[0] if isinstance(messages, list) else messages)
 
 
 def check(raw):
-    """A Config, or ConfigWrong naming the first wrong field."""
+    """Validate raw settings: a Config, or ConfigWrong with the first invalid field."""
     try:
         loaded = _ConfigSchema().load(raw)
-    except ValidationError as wrong:
-        return failures.ConfigWrong(*_first(wrong.messages))
+    except ValidationError as error:
+        return failures.ConfigWrong(*_first_error(error.messages))
     for key in ("address", "http"):
         if not 0 < int(loaded[key].rpartition(":")[2]) < 65536:
             return failures.ConfigWrong(key, "port out of range")
     loaded.setdefault("listen", loaded["address"])
-    loaded.setdefault("httpThreads", _threads(loaded["cores"]))
+    loaded.setdefault("httpThreads", _http_threads(loaded["cores"]))
     loaded["bounds"] = Bounds(**loaded["bounds"])
     loaded["seeds"], loaded["zones"] = tuple(loaded["seeds"]), tuple(loaded["zones"])
     return Config(**loaded)
 
 
-def _threads(cores):
-    """How many callers are served at once, by what the machine can do, if it is told."""
-    return max(_FEW, min(_MANY, int(_PER_CORE * cores))) if cores else _MANY
+def _http_threads(cores):
+    """Number of HTTP threads, by the cores of the machine if they are configured."""
+    return (
+        max(_MIN_THREADS, min(_MAX_THREADS, int(_THREADS_PER_CORE * cores)))
+        if cores
+        else _MAX_THREADS
+    )
 
 
 def read(path, flags):
-    """Config from a file (may be None) with flags laid over it."""
+    """Config from a file (None for none), overridden by the flags that are set."""
     raw = {}
     if path:
         try:
             with open(path, "rb") as source:
                 raw = tomllib.load(source)
-        except OSError as failed:
-            return failures.ConfigWrong("(file)", failed.strerror or "unreadable")
-        except (tomllib.TOMLDecodeError, UnicodeDecodeError) as failed:
-            return failures.ConfigWrong("(file)", str(failed))
+        except OSError as error:
+            return failures.ConfigWrong("(file)", error.strerror or "unreadable")
+        except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+            return failures.ConfigWrong("(file)", str(error))
     return check({**raw, **{k: v for k, v in flags.items() if v is not None}})
 
 
 def times(config):
-    back_ms = config.bounds.serviceBackMs
+    """Timeouts of replication, leases and heartbeats."""
+    service_back_ms = config.bounds.serviceBackMs
     return Times(
-        elect_ms=0.04 * back_ms,
-        heartbeat_ms=0.01 * back_ms,
-        ping_ms=0.02 * back_ms,
-        revoke_ms=config.revokeRatio * back_ms,
+        elect_ms=0.04 * service_back_ms,
+        heartbeat_ms=0.01 * service_back_ms,
+        ping_ms=0.02 * service_back_ms,
+        revoke_ms=config.revokeRatio * service_back_ms,
         group_wait=config.group_wait,
         depots=config.depots,
         placers=config.placers,
         founds=config.founds,
-        leave_ms=_LEAVE * config.bounds.graceMs or _LEAVE_MS,
+        leave_ms=_LEAVE_RATIO * config.bounds.graceMs or _DEFAULT_LEAVE_MS,
     )
 
 
 def placement_settings(config):
-    back_ms = config.bounds.serviceBackMs
-    return dispatching.Terms(
-        call_ms=0.08 * back_ms,
+    """Settings of the placers."""
+    service_back_ms = config.bounds.serviceBackMs
+    return placement_state.Terms(
+        call_ms=0.08 * service_back_ms,
         report_ms=0.15 * config.bounds.leavingMs,
         dark_ms=config.bounds.leavingMs,
         turnMs=config.bounds.turnMs,
@@ -228,7 +237,8 @@
 
 
 def routing_settings(config):
-    back_ms = config.bounds.serviceBackMs
+    """Settings of the router."""
+    service_back_ms = config.bounds.serviceBackMs
     return router.Terms(
         staleMs=float("inf")
         if config.worksUnheard
@@ -239,21 +249,22 @@
             config.bounds.evacuateMs,
             config.bounds.serviceBackMs,
         ),
-        ramp_ms=0.5 * back_ms,
-        pauseMs=0.04 * back_ms,
+        ramp_ms=0.5 * service_back_ms,
+        pauseMs=0.04 * service_back_ms,
         retryRatio=config.retryRatio,
         retryAllowance=config.retryAllowance,
-        retryWindowMs=config.retryWindowMs or 0.8 * back_ms,
-        leg_ms=10 * back_ms,
+        retryWindowMs=config.retryWindowMs or 0.8 * service_back_ms,
+        leg_ms=10 * service_back_ms,
     )
 
 
 def quota_settings(config):
+    """Settings of tenants' rate limits."""
     bounds = config.bounds
     return quota_terms.Terms(
         float(bounds.quotaWindowMs),
         bounds.quotaOverrun,
         bounds.quotaAllowance,
-        _TRUST * bounds.serviceBackMs,
-        _SILENT * bounds.serviceBackMs,
+        _TRUST_RATIO * bounds.serviceBackMs,
+        _SILENT_RATIO * bounds.serviceBackMs,
     )
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -1,9 +1,8 @@
-"""The doors that a platform's callers and operators knock at, in its own dialect.
+"""HTTP servers for a platform's callers and operators, in the platform's own formats.
 
-`Gateway` lets callers' requests through to engines; `OperatorGateway` takes operators'
-calls.
-Both stand behind the same door as the product's own interface, which goes on
-beside them.  `Status` answers whether callers may be sent here.
+`Gateway` proxies callers' requests to engines; `OperatorGateway` serves operators' requests.
+Both use the same listener as the product's own interface (`server`), which runs beside them.
+`StatusEndpoint` is the readiness probe.
 """
 
 import secrets
@@ -23,8 +22,9 @@
 
 __all__ = ["Gateway", "OperatorGateway", "StatusEndpoint"]
 
-_STEP_KEY = "pulleyhitch.step"
-# How long a thread waits for an answer before it lets the caller wait alone.
+# WSGI environment key of the outcome that the application turns into a response.
+_OUTCOME_KEY = "pulleyhitch.step"
+# How long a thread waits for an outcome before it returns the connection to the listener.
 _FIRST_WAIT_S = 0.005
 
 
@@ -33,7 +33,7 @@
     return host, int(port)
 
 
-def _server_context(process, address, app):
+def _make_server_context(process, address, app):
     return ServerContext(
         _split(address),
         app,
@@ -42,43 +42,45 @@
 
 
 class Gateway:
-    """Callers' requests; `run` serves until `stop`."""
+    """Proxies callers' requests; `run` serves until `stop` is called."""
 
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
         self._relaying = Relaying(process.request, process.pool, process.dialect, 500)
-        self._server_context = _server_context(process, config.doors["callers"], self._app)
-        back_s = config.bounds.serviceBackMs / 1000
+        self._server_context = _make_server_context(process, config.doors["callers"], self._app)
+        service_back_s = config.bounds.serviceBackMs / 1000
         self._listener = Listener(
             *_split(config.doors["callers"]),
             config.httpThreads,
             self._begin,
             lambda data: "rank0",
-            0.4 * back_s,
-            1.5 * back_s,
+            0.4 * service_back_s,
+            1.5 * service_back_s,
         )
 
     def run(self):
         self._listener.run()
 
     def stop(self):
+        """Accept no more connections."""
         self._listener.stop()
 
     def empty(self):
+        """Whether the gateway has stopped and no request is pending."""
         return self._listener.empty()
 
     def _begin(self, caller):
-        """First look at a request: answer it, or find that its task must wait.  Nothing is
-        sent to an engine for a caller that has left by now, as many have when this node
-        wakes from a freeze: it may have sent its request again under another id."""
+        """Start a request: answer it, or return the callbacks with which it waits.  A request
+        whose caller has disconnected is dropped: after a pause of this process many callers
+        have already retried under another id."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed or hung_up(caller.sock):
             return None
         request = Request(handler.wsgi_environ)
         facts = self._dialect.read_caller(request, handler.target)
         if isinstance(facts, failures.Failure):
-            handler.wsgi_environ[_STEP_KEY] = ("", {}, facts)
+            handler.wsgi_environ[_OUTCOME_KEY] = ("", {}, facts)
             handler.run_wsgi()
             return None
         token = secrets.token_hex(8)
@@ -88,8 +90,8 @@
         except TimeoutError:
             pass
 
-        def finish(step):
-            handler.wsgi_environ[_STEP_KEY] = (token, facts, step)
+        def finish(outcome):
+            handler.wsgi_environ[_OUTCOME_KEY] = (token, facts, outcome)
             handler.run_wsgi()
 
         def on_disconnect():
@@ -101,43 +103,43 @@
         return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        token, facts, step = environ[_STEP_KEY]
-        if isinstance(step, failures.Failure):
-            status, headers, body = self._dialect.refusal(step)
+        token, facts, outcome = environ[_OUTCOME_KEY]
+        if isinstance(outcome, failures.Failure):
+            status, headers, body = self._dialect.refusal(outcome)
             response = Response(body, status, headers)
         else:
-            response = self._relaying.serve(token, facts, step, environ)
+            response = self._relaying.serve(token, facts, outcome, environ)
         return answers.given(response, environ, start_response)
 
 
 class OperatorGateway:
-    """Operators' changes and reads; `run` serves until the process stops."""
+    """Serves operators' changes and reads; `run` serves until the process stops."""
 
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
-        self._server_context = _server_context(process, config.doors["operators"], self._app)
-        back_s = config.bounds.serviceBackMs / 1000
+        self._server_context = _make_server_context(process, config.doors["operators"], self._app)
+        service_back_s = config.bounds.serviceBackMs / 1000
         self._listener = Listener(
             *_split(config.doors["operators"]),
             config.httpThreads,
             self._begin,
             lambda data: "operator",
-            0.4 * back_s,
+            0.4 * service_back_s,
         )
 
     def run(self):
         self._listener.run()
 
     def _begin(self, caller):
-        """First look at a call: answer it, or find that it must wait.  Nothing is done for
-        an operator who has left by now and has perhaps asked another node since."""
+        """Start a request: answer it, or return the callbacks with which it waits.  A request
+        whose operator has disconnected is dropped: it may have gone to another node since."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed:
             return None
         facts = self._dialect.read_operator(Request(handler.wsgi_environ))
         if isinstance(facts, failures.Failure):
-            handler.wsgi_environ[_STEP_KEY] = ("", facts)
+            handler.wsgi_environ[_OUTCOME_KEY] = ("", facts)
             handler.run_wsgi()
             return None
         if admission.peek(caller.sock) == b"":
@@ -151,7 +153,7 @@
             pass
 
         def finish(outcome):
-            handler.wsgi_environ[_STEP_KEY] = (verb, outcome)
+            handler.wsgi_environ[_OUTCOME_KEY] = (verb, outcome)
             handler.run_wsgi()
 
         def on_disconnect():
@@ -163,13 +165,14 @@
         return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        verb, outcome = environ[_STEP_KEY]
+        verb, outcome = environ[_OUTCOME_KEY]
         status, headers, body = self._dialect.operator_answer(verb, outcome)
         return Response(body, status, headers)(environ, start_response)
 
 
 class StatusEndpoint:
-    """Answers 200 while callers may come; `run` serves until the process stops."""
+    """Readiness probe: 200 while the node takes requests; `run` serves until the process
+    stops."""
 
     def __init__(self, process):
         self._process = process
@@ -183,13 +186,13 @@
         self._http.serve_forever(poll_interval=1.0)
 
     def _app(self, environ, start_response):
-        found = self._process.request(secrets.token_hex(8), "ready", {}, 0.5)
-        code = found.status if isinstance(found, CommandResult) else 503
+        result = self._process.request(secrets.token_hex(8), "ready", {}, 0.5)
+        code = result.status if isinstance(result, CommandResult) else 503
         return Response(b"", code)(environ, start_response)
 
 
 class _SilentRequestHandler(WSGIRequestHandler):
-    """Says nothing of each request."""
+    """A request handler without an access log."""
 
     def log(self, type, message, *args):
         """Nothing."""
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -1,4 +1,4 @@
-"""What a node believes, as operators may read it."""
+"""Read-only views of a node's state, for operators."""
 
 from configuration import registry as registries
 from membership import peer_table
@@ -14,7 +14,7 @@
 
 
 def read(node, now_ms, body):
-    """One confirmed read; `what` names the part."""
+    """Result of a confirmed read; `what` in the body names the part, `name` filters it."""
     part, name = body.get("what", "layout"), body.get("name", "")
     registry = node.cluster.registry
     head = {"stamp": registry.stamp, "place": node.follower.place}
@@ -48,7 +48,7 @@
 
 
 def _without_keys(section):
-    """A section with fingerprints in place of its tenants' API keys."""
+    """The section, with the tenants' API keys replaced by fingerprints."""
     if "tenants" not in section:
         return section
     shown = {
@@ -59,13 +59,13 @@
 
 
 def _engines(node, name):
-    found = []
+    shown_engines = []
     for engine in node.cluster.registry.engines.values():
         if name not in ("", engine["name"], engine["service"]):
             continue
         shard = world.shard_of(engine["service"], node.config.shards)
         ledger = node.cluster.ledgers.get(shard, ledgers.Ledger())
-        found.append(
+        shown_engines.append(
             {
                 **engine,
                 "shard": shard,
@@ -77,21 +77,21 @@
                 },
             }
         )
-    return sorted(found, key=lambda e: e["name"])
+    return sorted(shown_engines, key=lambda e: e["name"])
 
 
 def _unmet(node, name):
-    found = {}
+    unmet_wishes = {}
     for ledger in node.cluster.ledgers.values():
         for service, unmet in ledger.unmet.items():
             for wish, why in unmet.items():
                 if name in ("", wish, wish.partition(":")[2], service):
-                    found[wish] = {"service": service, **why}
-    return dict(sorted(found.items()))
+                    unmet_wishes[wish] = {"service": service, **why}
+    return dict(sorted(unmet_wishes.items()))
 
 
 def node_state(node, now_ms):
-    """Everything this node believes right now, confirmed or not; for compare."""
+    """This node's current state, confirmed or not; for `compare` and diagnosis."""
     state = {
         "node": node.card.name,
         "role": node.card.role,
@@ -140,7 +140,7 @@
 
 
 def fleet(node, now_ms):
-    """The log node's view of everyone who pings it."""
+    """All nodes that follow the feed, as the log's leader sees them."""
     depot = node.depot
     return {
         "term": depot.group.term,
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -1,8 +1,8 @@
-"""A process's life: started, serving, and ended in order.
+"""Lifecycle of a process: start, serve, orderly stop.
 
-An orderly end goes in steps.  First it says that no callers should be sent here
-and serves those that come meanwhile; then nobody is let in any more, and what was
-let in gets its answer; grants and the lead are given away; then it is over.
+An orderly stop has these steps: the readiness probe fails, while new requests are still served;
+the listener stops accepting, and accepted requests are answered; leases and leadership are
+released; the process exits.
 """
 
 import gc
@@ -21,17 +21,18 @@
 
 __all__ = ["run", "report_failure"]
 
+# Parts of the grace period: until then new connections are accepted, and requests answered.
 _ACCEPT_SHARE = 0.3
 _DRAIN_SHARE = 0.85
 
 
 def report_failure(failure):
-    """Tell a failure on the error stream, as one line of JSON."""
+    """Print a failure to stderr as one line of JSON."""
     print(json.dumps(failures.as_json(failure)), file=sys.stderr, flush=True)
 
 
 def _make_servers(process):
-    """What serves, besides the product's own interface, as the config has it."""
+    """(name, server) of the product's own interface and of those in the config's `doors`."""
     servers = [("http", Server(process))]
     for name, server_class in (
         ("callers", Gateway),
@@ -44,8 +45,9 @@
 
 
 def run(config, dialect=None, changed_seeds=None):
-    """Serve until told to stop; returns the exit code.  `news()` is asked now and
-    then for seeds that have changed, or None."""
+    """Run a node until SIGINT, SIGTERM or a failure, then exit the process.  Returns an exit
+    code only if it can't start.  `changed_seeds()` is polled for new seed addresses; it
+    returns None if they are unchanged.  SIGHUP polls at once, SIGUSR1 dumps the log ring."""
     try:
         process = Process(config, dialect)
     except CannotStart as failed:
@@ -72,9 +74,7 @@
         flush=True,
     )
     if not config.tokens and dialect is None:
-        report_failure(
-            failures.NoTokens("whoever says they are a partner is believed; see [tokens]")
-        )
+        report_failure(failures.NoTokens("operators are not authenticated; see [tokens]"))
     code = _wait(process, stop_requested, reload_requested, changed_seeds)
     if code == 0:
         _drain(process, dict(servers))
@@ -85,8 +85,8 @@
 
 
 def _freeze_garbage_collector():
-    """All that was made so far lasts as long as the process: it is never looked
-    through for garbage again, and what comes from now on is."""
+    """Exempt the objects made so far, which live as long as the process, from garbage
+    collection, and enable it for new ones."""
     gc.freeze()
     gc.enable()
 
--- a/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
@@ -1,7 +1,7 @@
-"""What operators ask of any node, over HTTP.
+"""Operators' commands, sent to any node over HTTP.
 
-Exit codes: 0 done, 1 refused or failed (the typed failure is printed), 2 wrong
-flags or files, 5 the node can't be reached or its answer never came.
+Exit codes: 0 success, 1 refused or failed (the typed failure is printed), 2 invalid flags or
+files, 5 no response from the node.
 """
 
 import json
@@ -19,18 +19,18 @@
 __all__ = ["COMMANDS"]
 
 _NODE = option("node", None, "HTTP address of any node", flag=False, default="127.0.0.1:7500")
-_PARTNER = option("partner", "p", "Whose operator you are", flag=False, default="")
-_TOKEN = option("token-file", None, "File with that partner's token", flag=False)
-_EXPECT = option("expect", None, "Refuse unless this is the stamp in force", flag=False)
-_CHANGE = option("change", None, "Id of this change, to ask again by", flag=False)
-_WAIT = option("wait", "w", "Wait until every node follows it", flag=True)
+_PARTNER = option("partner", "p", "Partner on whose behalf you act", flag=False, default="")
+_TOKEN = option("token-file", None, "File with the partner's token", flag=False)
+_EXPECT = option("expect", None, "Refuse unless this is the current stamp", flag=False)
+_CHANGE = option("change", None, "Id of this change; retry with the same id", flag=False)
+_WAIT = option("wait", "w", "Wait until every node has applied the change", flag=True)
 
 
 def _request(node, method, path, body=None, headers=()):
-    """(status, body) from a node; status 0 if there was no answer."""
+    """(status, body) of a node's response; status 0 if there was none."""
     data = json.dumps(body).encode() if body is not None else b""
-    ended = legs.call(Ask(method, f"http://{node}{path}", data), 20000, headers=list(headers))
-    return ended.code, read_json(ended.data) or {}
+    response = legs.call(Ask(method, f"http://{node}{path}", data), 20000, headers=list(headers))
+    return response.code, read_json(response.data) or {}
 
 
 def _print(code, body):
@@ -38,7 +38,9 @@
     return 0 if code == 200 else 1 if code else 5
 
 
-class _Asking(Command):
+class _OperatorCommand(Command):
+    """Base of the commands: requests to a node, with the common options."""
+
     def _get(self, path):
         code, body = _request(self.option("node"), "GET", path)
         if code == 0:
@@ -52,25 +54,25 @@
                 with open(self.option("token-file"), encoding="ascii") as source:
                     headers.append("Authorization: Bearer " + source.read().strip())
             except (OSError, UnicodeDecodeError):
-                return self._wrong("token-file", "unreadable")
+                return self._usage_error("token-file", "unreadable")
         expect = self.option("expect")
         if expect is not None:
             if not expect.isdigit():
-                return self._wrong("expect", "not a whole number")
+                return self._usage_error("expect", "not a whole number")
             body["expect"] = int(expect)
         body["change"] = self.option("change") or secrets.token_hex(12)
-        code, found = _request(self.option("node"), "POST", f"/operator/{verb}", body, headers)
+        code, result = _request(self.option("node"), "POST", f"/operator/{verb}", body, headers)
         if code == 0:
-            found = {
+            result = {
                 **failures.as_json(failures.Unreachable(self.option("node"))),
                 "change": body["change"],
             }
         elif code == 200 and self.option("wait"):
-            found["followed"] = self._wait_all(found.get("stamp", 0))
-        return _print(code, found)
+            result["followed"] = self._wait_all(result.get("stamp", 0))
+        return _print(code, result)
 
     def _wait_all(self, stamp):
-        """Ask the node, then all counters it knows, until each has the stamp."""
+        """Poll all nodes that the given node knows until each has reached the stamp."""
         node, end_s = self.option("node"), time.monotonic() + 30
         waiting, followed = None, []
         while time.monotonic() < end_s and (waiting is None or waiting):
@@ -79,17 +81,19 @@
                 waiting = sorted(fleet.get("nodes", {})) if code == 200 else None
                 http = {}
                 if code == 200:
-                    _, seen = _request(node, "GET", "/operator/believes")
-                    http = {**seen.get("https", {}), seen.get("node"): node}
+                    _, states = _request(node, "GET", "/operator/believes")
+                    http = {**states.get("https", {}), states.get("node"): node}
                 continue
             name = waiting.pop(0)
-            _, seen = _request(http.get(name, node), "GET", "/operator/believes")
+            _, states = _request(http.get(name, node), "GET", "/operator/believes")
             (
-                followed if seen.get("stamp", 0) >= stamp and seen.get("node") == name else waiting
+                followed
+                if states.get("stamp", 0) >= stamp and states.get("node") == name
+                else waiting
             ).append(name)
         return {"by": sorted(followed), "notYet": sorted(waiting or [])}
 
-    def _wrong(self, field, cause):
+    def _usage_error(self, field, cause):
         print(json.dumps(failures.as_json(failures.ConfigWrong(field, cause))), file=sys.stderr)
         return 2
 
@@ -101,10 +105,12 @@
             return None
 
 
-class Layout(_Asking):
+class Layout(_OperatorCommand):
     name = "layout"
-    description = "Read the layout in force, or set a partner's section from a JSON file."
-    arguments = [argument("file", "A section to set; - for standard input", optional=True)]
+    description = "Read the current layout, or set a partner's section from a JSON file."
+    arguments = [
+        argument("file", "JSON file with the section to set; - for standard input", optional=True)
+    ]
     options = [
         _NODE,
         _PARTNER,
@@ -120,7 +126,7 @@
             return self._get("/operator/read/layout?name=" + self.option("partner"))
         section = self._load(self.argument("file"))
         if section is None:
-            return self._wrong("file", "not readable as JSON")
+            return self._usage_error("file", "not readable as JSON")
         return self._post(
             "layout",
             {
@@ -131,16 +137,16 @@
         )
 
 
-class Render(_Asking):
+class Render(_OperatorCommand):
     name = "render"
-    description = "Print a section from a template, for `layout -` or a file."
+    description = "Render a section from a template, for `layout -` or a file."
     arguments = [argument("template", "A Jinja2 template of a section")]
     options = [
         option("set", "s", "A parameter, NAME=JSON or NAME=TEXT", flag=False, multiple=True),
         option(
             "overlay",
             "o",
-            "A merge patch to lay over it; may be repeated",
+            "A merge patch to apply to it; may be repeated",
             flag=False,
             multiple=True,
         ),
@@ -151,26 +157,26 @@
             with open(self.argument("template"), encoding="utf8") as source:
                 text = source.read()
         except (OSError, UnicodeDecodeError):
-            return self._wrong("template", "not readable")
+            return self._usage_error("template", "not readable")
         parameters = {}
         for pair in self.option("set"):
             name, mark, value = pair.partition("=")
             if not mark or not name.isidentifier():
-                return self._wrong("set", f"not NAME=VALUE: {pair}")
+                return self._usage_error("set", f"not NAME=VALUE: {pair}")
             try:
                 parameters[name] = json.loads(value)
             except ValueError:
                 parameters[name] = value
         overlays = [self._load(path) for path in self.option("overlay")]
         if None in overlays:
-            return self._wrong("overlay", "not readable as JSON")
-        found = templates.render(text, parameters, overlays)
-        if isinstance(found, failures.Failure):
-            return _print(422, failures.as_json(found))
-        return _print(200, found)
+            return self._usage_error("overlay", "not readable as JSON")
+        result = templates.render(text, parameters, overlays)
+        if isinstance(result, failures.Failure):
+            return _print(422, failures.as_json(result))
+        return _print(200, result)
 
 
-class _Zone(_Asking):
+class _Zone(_OperatorCommand):
     arguments = [argument("zone", "The zone")]
     options = [_NODE, _PARTNER, _TOKEN, _EXPECT, _CHANGE, _WAIT]
     evacuated = True
@@ -181,18 +187,18 @@
 
 class Evacuate(_Zone):
     name = "evacuate"
-    description = "Give a zone's engines no new work."
+    description = "Evacuate a zone: its engines get no new work."
 
 
 class Restore(_Zone):
     name = "restore"
-    description = "Let a zone's engines have work again."
+    description = "End a zone's evacuation: its engines get work again."
     evacuated = False
 
 
-class Engines(_Asking):
+class Engines(_OperatorCommand):
     name = "engines"
-    description = "Read the engines, or set some from a JSON list (the platform's call)."
+    description = "Read the engine list, or change it from a JSON file (the platform only)."
     arguments = [argument("file", "A JSON list of engines", optional=True)]
     options = [
         _NODE,
@@ -207,24 +213,24 @@
     def handle(self):
         if not self.argument("file"):
             return self._get("/operator/read/engines?name=" + self.option("name"))
-        given = self._load(self.argument("file"))
-        if given is None:
-            return self._wrong("file", "not readable as JSON")
-        return self._post("engines", {"engines": given})
+        engines = self._load(self.argument("file"))
+        if engines is None:
+            return self._usage_error("file", "not readable as JSON")
+        return self._post("engines", {"engines": engines})
 
 
-class Zones(_Asking):
+class Zones(_OperatorCommand):
     name = "zones"
-    description = "Which zones there are, and which are evacuated."
+    description = "Print the zones, and which are evacuated."
     options = [_NODE]
 
     def handle(self):
         return self._get("/operator/read/zones")
 
 
-class Why(_Asking):
+class Why(_OperatorCommand):
     name = "why"
-    description = "Which wishes are unmet, which rule decided, and whose won."
+    description = "Print the unmet placement wishes, and the rule that decided each."
     arguments = [argument("wish", "Only this wish or service", optional=True)]
     options = [_NODE]
 
@@ -232,51 +238,51 @@
         return self._get("/operator/read/why?name=" + (self.argument("wish") or ""))
 
 
-class Tenants(_Asking):
+class Tenants(_OperatorCommand):
     name = "tenants"
-    description = "Each tenant's limit, and what this node granted, spent and refused."
+    description = "Print each tenant's limit, and the tokens this node got, spent and refused."
     options = [_NODE]
 
     def handle(self):
         return self._get("/operator/read/tenants")
 
 
-class Fleet(_Asking):
+class Fleet(_OperatorCommand):
     name = "fleet"
-    description = "Every node, as the log node sees it."
+    description = "Print every node, as the log's leader sees it."
     options = [_NODE]
 
     def handle(self):
         return self._get("/operator/fleet")
 
 
-class Compare(_Asking):
+class Compare(_OperatorCommand):
     name = "compare"
-    description = "What two nodes believe, and where they differ."
+    description = "Compare the state of two nodes."
     arguments = [argument("one", "HTTP address"), argument("other", "HTTP address")]
 
     def handle(self):
-        seen = []
+        states = []
         for node in (self.argument("one"), self.argument("other")):
             code, body = _request(node, "GET", "/operator/believes")
             if code != 200:
                 return _print(code, failures.as_json(failures.Unreachable(node)))
-            seen.append(body)
+            states.append(body)
         same, differ = [], {}
-        for key in sorted(set(seen[0]) | set(seen[1])):
+        for key in sorted(set(states[0]) | set(states[1])):
             if key in ("node", "ageMs", "router", "depot", "watches", "live", "https"):
                 continue
-            if seen[0].get(key) == seen[1].get(key):
+            if states[0].get(key) == states[1].get(key):
                 same.append(key)
             else:
-                differ[key] = [seen[0].get(key), seen[1].get(key)]
+                differ[key] = [states[0].get(key), states[1].get(key)]
         return _print(
             200,
             {
-                "nodes": [s["node"] for s in seen],
+                "nodes": [s["node"] for s in states],
                 "same": same,
                 "differ": differ,
-                "ageMs": [s["ageMs"] for s in seen],
+                "ageMs": [s["ageMs"] for s in states],
             },
         )
 
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -1,8 +1,8 @@
-"""What callers and operators ask of this node, by verb.
+"""Requests of callers and operators to this node, dispatched by verb.
 
-An operator's change goes to the holder of the shard it concerns
-(`command_forwarding`).  A read waits until this node has caught up with a mark it asked
-for after the read came in; one that can't be confirmed in time gets no answer of ours.
+An operator's change is forwarded to the lease holder of its shard (`command_forwarding`).  A
+read is linearizable: it waits until the feed confirms a position that was requested after the
+read came in, and fails if that does not happen in time.
 """
 
 import dataclasses
@@ -30,13 +30,13 @@
 ]
 
 _FLEET = "fleet"
-# The role under which a stopping node asks for news.
+# Role in a stopping node's feed requests.
 _STOPPING = "stopping"
 
 
 @dataclass(frozen=True)
 class PendingRead:
-    """A read that no mark has confirmed yet."""
+    """A read that the feed has not confirmed yet."""
 
     token: str
     body: dict
@@ -46,7 +46,7 @@
 
 @dataclass
 class OperatorRequests:
-    """What operators wait for at this node."""
+    """Operators' pending commands (by id) and reads; `count` numbers the commands."""
 
     pending: dict = field(default_factory=dict)
     reads: list = field(default_factory=list)
@@ -55,10 +55,10 @@
 
 
 def handle_request(node, now_ms, event):
-    """Do what is asked; the answer comes as a Reply, now or later."""
-    verb = _VERBS.get(event.verb)
-    if verb is not None:
-        return verb(node, now_ms, event.token, event.body)
+    """Handle a request by its verb; its outcome comes as a Reply, now or later."""
+    handler = _VERBS.get(event.verb)
+    if handler is not None:
+        return handler(node, now_ms, event.token, event.body)
     shard = LOG_SHARD if event.verb == "fleet" else 0
     return command_forwarding.forward(node, now_ms, event.token, shard, event.verb, event.body)
 
@@ -88,7 +88,7 @@
 
 
 def _read(node, now_ms, token, body):
-    """Confirm it by a mark that is asked for now."""
+    """Queue a read, and request the feed position that will confirm it."""
     deadline_ms = command_forwarding.answer_deadline(node, now_ms)
     node.operator.reads.append(PendingRead(token, body, now_ms, deadline_ms))
     leader = node.peers.group.leader
@@ -96,7 +96,7 @@
 
 
 def _handle_abandoned(node, now_ms, token, body):
-    """An operator has left before its answer: nothing is done for it any more."""
+    """An operator has disconnected: drop its commands and reads."""
     command_forwarding.cancel(node, token)
     node.operator.reads = [read for read in node.operator.reads if read.token != token]
     return [Reply(token, failures.MajorityLost(1000))]
@@ -129,11 +129,13 @@
 
 
 def requester_card(node):
-    """Who asks for news: a node that stops still does, but is given no lease."""
+    """The card in this node's feed requests.  A stopping node still follows the feed, under a
+    role that gets no lease."""
     return dataclasses.replace(node.card, role=_STOPPING) if node.closing else node.card
 
 
 def routing_peers(node, now_ms):
+    """The live counters, which share the engines with this one."""
     return choice.Crew(node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone)
 
 
@@ -180,7 +182,7 @@
 
 
 def tick(node, now_ms):
-    """End what has waited long enough; answer what is confirmed by now."""
+    """Fail requests past their deadline, answer confirmed reads and report demand."""
     effects = command_forwarding.tick(node, now_ms)
     for read in list(node.operator.reads):
         if now_ms >= read.deadline_ms:
@@ -191,7 +193,7 @@
 
 
 def answer_confirmed_reads(node, now_ms):
-    """Answer the reads that a confirmed mark has overtaken."""
+    """Answer the reads that the feed has confirmed by now."""
     effects = []
     for read in list(node.operator.reads):
         if node.follower.current_ms >= read.requested_ms:
@@ -213,7 +215,7 @@
 
 
 def on_command(node, now_ms, message):
-    """Another node's command, for a shard held here or for the log node."""
+    """Handle a command from another node, for a shard held here or for the log's leader."""
     token = f"cmd|{message.address}|{message.id}"
     try:
         body = json.loads(message.body)
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -1,8 +1,8 @@
-"""Tenants' limits at this node: tokens for the tasks that come in, and, on a depot, what it
-gives to other nodes.
+"""Tenants' rate limits: token buckets for incoming requests, and, on a depot, grants of tokens
+to other nodes.
 
-A task of a limited tenant takes one token before its first attempt or place in line; what
-is tried again for it takes none.  Depots are those of the newest membership known here.
+A request of a limited tenant takes one token before its first attempt or before it joins the
+wait queue; retries take none.  Grants come from the depots of the newest known membership.
 """
 
 from dataclasses import dataclass, field
@@ -23,15 +23,15 @@
 
 _UNANSWERED_RETRY_MS = 1000
 _LINE_FULL_RETRY_MS = 3000
-# How often the ring is told of refusals.
+# Interval between notes of refusals in the log ring.
 _REPORT_INTERVAL_MS = 5000.0
 _FIRST_NUMBER_RANGE = 1 << 48
 
 
 @dataclass
 class Quotas:
-    """`standing` and `granting` are a depot's; `untold`: refusals by tenant since the ring
-    was last told."""
+    """State of rate limits.  `standing` is None except on a depot; `unreported_refusals`
+    counts refusals by tenant since the last note."""
 
     spending: spending.Spending
     granting: granting.Granting
@@ -41,7 +41,7 @@
 
 
 def make(config, random, group):
-    """What a fresh node begins with; `group` is a depot's opened replication group."""
+    """State of a new node; `group` is a depot's opened replication group."""
     terms = configs.quota_settings(config)
     number = random.randrange(_FIRST_NUMBER_RANGE)
     standing = None
@@ -53,7 +53,7 @@
 
 
 def begin(node, now_ms, age_ms, peers, task):
-    """A caller's task has come in: it goes on, waits for a token, or gets its final answer."""
+    """Start a caller's request: it is routed, waits for a token, or is refused."""
     limit = _limit(node, task.tenant)
     task.awaiting_quota = limit is not None
     effects = router.begin(node.router, now_ms, node.cluster, age_ms, peers, task)
@@ -87,7 +87,7 @@
 
 
 def _process_decisions(node, now_ms, peers_of):
-    """Tell the tasks that are decided by now, and send the asks that are due."""
+    """Apply the decisions made by now, and send the token requests that are due."""
     _cancel_ended(node)
     decisions, requests = spending.advance(node.quotas.spending, now_ms)
     effects = [Send(request.to, request.ask) for request in requests]
@@ -120,7 +120,7 @@
 
 
 def on_request(node, now_ms, sender, message):
-    """Another node, or this one, asks for tokens."""
+    """Handle a node's request for tokens; it may be this node's own."""
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
     _observe(node, now_ms)
@@ -130,19 +130,20 @@
 
 
 def _observe(node, now_ms):
-    """The committed membership, of which this node's marks tell how current it is."""
+    """Observe the committed membership, as this node's feed has it."""
     founders = {member.identity for member in node.depot.group.founders}
     standings.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
 
 
 def on_grant(node, now_ms, sender, message, peers_of):
-    """A depot has answered: those who waited for it go on."""
+    """Handle a depot's grant: the requests that waited for it proceed."""
     spending.on_grant(node.quotas.spending, now_ms, sender, message)
     return _process_decisions(node, now_ms, peers_of)
 
 
 def tick(node, now_ms, peers_of):
-    """Depots that are silent are passed over; tasks that no depot answered are refused."""
+    """Skip silent depots, refuse requests whose tokens came from no depot in time, and note
+    refusals."""
     if node.depot is not None:
         _observe(node, now_ms)
     _learn_depots(node)
@@ -165,7 +166,7 @@
 
 
 def _report_refusals(node, now_ms):
-    """Refusals since the last note, a line for all tenants."""
+    """One note with the refusals of all tenants since the last one."""
     quotas = node.quotas
     if not quotas.unreported_refusals or now_ms - quotas.reported_ms < _REPORT_INTERVAL_MS:
         return []
@@ -175,7 +176,7 @@
 
 
 def describe(node):
-    """By tenant: its limit, what this node got and did, and what it gave as a depot."""
+    """By tenant: its limit, this node's counts, and what it granted as a depot."""
     found = {}
     for name, facts in sorted(registries.tenants(node.cluster.registry).items()):
         found[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
--- a/libs/pulleyhitch/src/pulleyhitch/role_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/role_commands.py
@@ -1,7 +1,7 @@
-"""The roles: `pulleyhitch depot` and `pulleyhitch counter`.
+"""Commands that run a role: `pulleyhitch depot` keeps the log, `pulleyhitch counter` routes.
 
-Exit codes: 0 an orderly stop, 2 wrong config or flags, 3 the data folder or
-an address can't be used, 4 stopped by a failure while running.
+Exit codes: 0 orderly stop, 2 invalid config or flags, 3 the data folder or an address can't be
+used, 4 stopped by a failure.
 """
 
 from cleo.commands.command import Command
@@ -13,11 +13,11 @@
 
 __all__ = ["COMMANDS"]
 
-_TEXT = ("name", "zone", "address", "http", "folder")
+_TEXT_OPTIONS = ("name", "zone", "address", "http", "folder")
 
 
 def _flags(command, role):
-    flags = {key: command.option(key) for key in _TEXT}
+    flags = {key: command.option(key) for key in _TEXT_OPTIONS}
     seeds = command.option("seed")
     flags["seeds"] = list(seeds) if seeds else None
     zones = command.option("zones")
@@ -29,20 +29,20 @@
     return flags
 
 
-class _Role(Command):
+class _RoleCommand(Command):
     options = [
-        option("config", "c", "A TOML file of config", flag=False),
+        option("config", "c", "TOML config file", flag=False),
         option(
             "seed",
             "s",
-            "Address of another process; give it three times",
+            "Address of another process; repeat for three of them",
             flag=False,
             multiple=True,
         ),
-        option("zones", None, "All zones, with commas between", flag=False),
-        option("shards", None, "How many shards there are", flag=False),
-        option("depots", None, "How many depots found the log", flag=False),
-    ] + [option(key, None, f"This process's {key}", flag=False) for key in _TEXT]
+        option("zones", None, "All zones, separated by commas", flag=False),
+        option("shards", None, "Number of shards", flag=False),
+        option("depots", None, "Number of depots that found the log", flag=False),
+    ] + [option(key, None, f"This process's {key}", flag=False) for key in _TEXT_OPTIONS]
 
     def handle(self):
         config = configs.read(self.option("config"), _flags(self, self.name))
@@ -52,14 +52,14 @@
         return lifecycle.run(config)
 
 
-class Depot(_Role):
+class Depot(_RoleCommand):
     name = "depot"
-    description = "Keep a copy of the log on this machine's disk."
+    description = "Run a log replica, with its data on this machine's disk."
 
 
-class Counter(_Role):
+class Counter(_RoleCommand):
     name = "counter"
-    description = "Route callers and, holding a grant, place models."
+    description = "Route requests and, while holding a lease of a shard, place models."
 
 
 COMMANDS = (Depot, Counter)
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -1,4 +1,4 @@
-"""The HTTP side of a node: callers (on counters) and operators (everywhere).
+"""The product's own HTTP interface: callers (on counters) and operators (on every node).
 
     GET  /operator/read/<what>?name=      layout, zones, engines, why, holds, tenants
     POST /operator/layout                 {"partner", "section", "partial"?, "expect"?, "change"?}
@@ -6,9 +6,9 @@
     POST /operator/engines                {"engines": [...], ...}   from the platform
     GET  /operator/fleet, /operator/believes
 
-An operator says who they are by X-Partner, and proves it with a bearer token
-where the config has one for that partner.  With a token for `platform`, only it
-changes the engine list, and it changes nothing else.
+An operator names its partner in X-Partner; if the config has tokens, it authenticates with that
+partner's bearer token.  If there is a token for `platform`, only that partner may change the
+engine list, and it may change nothing else.
 """
 
 import hmac
@@ -40,20 +40,23 @@
         Rule("/operator/believes", endpoint="believes", methods=["GET"]),
     ]
 )
-_READS = ("layout", "zones", "engines", "why", "holds", "tenants")
-_LAYOUT_BYTES = 8 << 20
+_READABLE_PARTS = ("layout", "zones", "engines", "why", "holds", "tenants")
+_LAYOUT_LIMIT_BYTES = 8 << 20
 _PLATFORM = "platform"
-_TASKS = ("task", "route", "lookup")
+_TASK_ENDPOINTS = ("task", "route", "lookup")
 
 
 class Server:
-    """`run` serves until the process stops."""
+    """Serves the product's own interface; `run` serves until the process stops.
+
+    Handlers are looked up by endpoint: `_task`, `_read`, `_fleet` and so on respond to a
+    request, `_read_task`, `_read_route` and `_read_lookup` parse callers' requests."""
 
     def __init__(self, process):
         self._process = process
         self._config = process.config
         self._serving = serving.Serving(process.request, 500)
-        self._classes = {}
+        self._route_classes = {}
         host, _, port = self._config.http.rpartition(":")
         self._server_context = ServerContext(
             (host, int(port)),
@@ -77,17 +80,18 @@
         self._listener.run()
 
     def stop(self):
+        """Accept no more connections."""
         self._listener.stop()
 
     def _rank_of(self, route):
-        return RANK.get(self._classes.get(route), 1)
+        return RANK.get(self._route_classes.get(route), 1)
 
     def _begin(self, caller):
-        """First look at a request: answer it, or find that its task must wait."""
+        """Start a request: answer it, or return the callbacks with which it waits."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed:
             return None
-        task = self._first_step(handler)
+        task = self._submit_task(handler)
         if task is None:
             handler.run_wsgi()
             return None
@@ -105,8 +109,8 @@
             return None
         return future, finish, on_disconnect
 
-    def _first_step(self, handler):
-        """(token, task, future) of a caller's task; None for all else."""
+    def _submit_task(self, handler):
+        """Submit a caller's task: (token, task, future); None for any other request."""
         if self._config.role != "counter":
             return None
         request = Request(handler.wsgi_environ)
@@ -114,7 +118,7 @@
             endpoint, values = _RULES.bind_to_environ(handler.wsgi_environ).match()
         except HTTPException:
             return None
-        if endpoint not in _TASKS:
+        if endpoint not in _TASK_ENDPOINTS:
             return None
         facts = getattr(self, "_read_" + endpoint)(request, **values)
         if isinstance(facts, failures.Failure):
@@ -135,11 +139,11 @@
         return callers.read_task(body, route, self._config.deadlineMs)
 
     def _read_route(self, request, name):
-        found = self._process.request(secrets.token_hex(8), "route", {"name": name})
-        if isinstance(found, failures.Failure):
-            return found
-        self._classes[name] = found.body.get("class")
-        return self._read_task(request, found.body)
+        route_result = self._process.request(secrets.token_hex(8), "route", {"name": name})
+        if isinstance(route_result, failures.Failure):
+            return route_result
+        self._route_classes[name] = route_result.body.get("class")
+        return self._read_task(request, route_result.body)
 
     def _read_lookup(self, request, service, key):
         return callers.read_lookup(service, key, self._config.deadlineMs)
@@ -149,17 +153,17 @@
         try:
             endpoint, values = _RULES.bind_to_environ(environ).match()
             response = getattr(self, "_" + endpoint)(request, **values)
-        except HTTPException as wrong:
+        except HTTPException as error:
             response = callers.answer(
                 {
-                    "failure": "not-found" if wrong.code == 404 else "http-wrong",
-                    "cause": wrong.name,
+                    "failure": "not-found" if error.code == 404 else "http-wrong",
+                    "cause": error.name,
                 },
-                wrong.code,
+                error.code,
             )
         return response(environ, start_response)
 
-    def _ask(self, verb, body):
+    def _respond(self, verb, body):
         outcome = self._process.request(secrets.token_hex(8), verb, body)
         if isinstance(outcome, failures.Failure):
             return callers.refusal(outcome)
@@ -171,7 +175,7 @@
         return callers.answer(outcome if not isinstance(outcome, Done) else {})
 
     def _task(self, request, **values):
-        """Its first step was taken before a thread was given to the rest."""
+        """Respond to a task whose first outcome `_begin` has put into the environment."""
         if "pulleyhitch.step" not in request.environ:
             return callers.refusal(failures.NotFound("callers are served by counters"))
         token, facts, outcome = request.environ["pulleyhitch.step"]
@@ -182,30 +186,31 @@
     _route = _lookup = _task
 
     def _read(self, request, what):
-        if what not in _READS:
+        if what not in _READABLE_PARTS:
             return callers.refusal(failures.NotFound(what))
-        return self._ask("read", {"what": what, "name": request.args.get("name", "")})
+        return self._respond("read", {"what": what, "name": request.args.get("name", "")})
 
     def _fleet(self, request):
-        return self._ask("fleet", {})
+        return self._respond("fleet", {})
 
     def _believes(self, request):
-        return self._ask("believes", {})
+        return self._respond("believes", {})
 
     def _change(self, request, verb):
-        body = callers.read_body(request, _LAYOUT_BYTES)
+        body = callers.read_body(request, _LAYOUT_LIMIT_BYTES)
         if isinstance(body, failures.Failure):
             return callers.refusal(body)
         actor = request.headers.get("X-Partner", "")
-        wanted = self._config.tokens.get(actor)
-        given = request.headers.get("Authorization", "").removeprefix("Bearer ")
+        expected_token = self._config.tokens.get(actor)
+        token = request.headers.get("Authorization", "").removeprefix("Bearer ")
         if self._config.tokens and (
-            wanted is None or not hmac.compare_digest(wanted.encode(), given.encode())
+            expected_token is None
+            or not hmac.compare_digest(expected_token.encode(), token.encode())
         ):
             return callers.refusal(failures.WrongPartner(actor, "(token)"))
         if _PLATFORM in self._config.tokens and (verb == "engines") != (actor == _PLATFORM):
             return callers.refusal(failures.WrongPartner(actor, f"({verb})"))
-        # The id under which a command travels is the node's own: two operators who
-        # chose the same would be given each other's answers.
+        # The node assigns the id of a command: two operators that chose the same one would
+        # get each other's answers.
         body.pop("id", None)
-        return self._ask(verb, {**body, "actor": actor})
+        return self._respond(verb, {**body, "actor": actor})
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -1,8 +1,9 @@
-"""The shards this node holds: shard 0's office, and placers for the others.
+"""The shards whose lease this node holds: shard 0 with the configuration, and placers for the
+others.
 
-A node learns from the feed that a grant names it, recovers the shard in
-pages, and keeps it until the feed names another holder or its own clock says
-that the grant may have ended.
+A node learns from the feed that it holds a lease, recovers the shard's state in chunks, and
+serves the shard until the feed names another holder, or until the lease may have ended by its
+own clock.
 """
 
 from dataclasses import dataclass, field
@@ -32,12 +33,13 @@
     "has_pending_answers",
 ]
 
+# Part of the time until leases are revoked after which the holder takes its lease as ended.
 _LEASE_RATIO = 0.8
 
 
 @dataclass
 class ConfigurationOwner:
-    """Shard 0: the layout and the engine list."""
+    """State of shard 0: the layout and the engine list."""
 
     shard: int
     epoch: int
@@ -48,6 +50,9 @@
 
 @dataclass
 class ShardOwnership:
+    """The held shards, by number, in `owners`: a ConfigurationOwner for shard 0, a Placer for
+    any other.  `provider` is the address of the platform's list of engines, or empty."""
+
     shards: int
     zones: tuple
     reader: object = None
@@ -56,7 +61,7 @@
 
 
 def lease_end(follower, times):
-    """When our grants must be taken as ended, on our own clock."""
+    """When this node must take its leases as ended, on its own clock."""
     return follower.direct_ms + _LEASE_RATIO * times.revoke_ms
 
 
@@ -85,6 +90,7 @@
 
 
 def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, report_lost):
+    """Follow changes of leases, recover new shards, and run the placers and checkpoints."""
     effects = _apply_grants(ownership, card, follower.state)
     end_ms = lease_end(follower, times)
     for owner in ownership.owners.values():
@@ -109,6 +115,7 @@
 
 
 def flush(ownership, now_ms, card, leader):
+    """Send the records that were appended to the shards' logs since the last call."""
     effects = []
     for owner in ownership.owners.values():
         if not owner.held.lost:
@@ -126,7 +133,7 @@
 
 
 def on_chunk(ownership, now_ms, sender, message, settings):
-    """A chunk of a shard that we were given came."""
+    """Handle a chunk of a shard's state; after the last one the shard is recovered."""
     owner = ownership.owners.get(message.shard)
     if owner is None:
         return []
@@ -144,6 +151,7 @@
 
 
 def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
+    """Records of our shards are committed: run what waited for them."""
     effects = []
     for position in message.places:
         owner = ownership.owners.get(position.shard)
@@ -165,6 +173,7 @@
 
 
 def on_refused(ownership, message):
+    """The leader refused records of a shard that this node no longer holds."""
     owner = ownership.owners.get(message.shard)
     if owner is not None:
         shard_log.on_refused(owner.held, message)
@@ -172,6 +181,7 @@
 
 
 def on_call_result(ownership, now_ms, result, cluster, settings):
+    """A call to an engine or to the provider ended; its id names the shard and the epoch."""
     shard, epoch, id_ = result.id.split("|", 2)
     owner = ownership.owners.get(int(shard))
     if owner is None or owner.epoch != int(epoch):
@@ -184,7 +194,7 @@
 
 
 def _apply_engine_list(ownership, now_ms, owner, id_, result, settings):
-    """A page of the platform's list came: what has changed is logged for all."""
+    """Apply a page of the platform's engine list: changes are appended to the log."""
     effects, changed = rosters.on_called(
         owner.roster,
         now_ms,
@@ -206,7 +216,7 @@
 
 
 def command(ownership, now_ms, token, shard, verb, body, follower, cluster, times, settings):
-    """A command for a shard that this node is thought to hold."""
+    """Handle a command for a shard; NoHolder if this node doesn't hold it, or not yet."""
     owner = ownership.owners.get(shard)
     if (
         owner is None
@@ -231,15 +241,15 @@
 
 
 def _report_defect(token, verb, failed):
-    """A defect of ours met an order that it can't judge.  Nothing has changed, and stopping
-    would only hand the same order to the next holder, and end that one too."""
+    """Report an exception raised by a command.  Nothing has changed.  The node goes on:
+    stopping would only hand the same command to the next holder, and crash that one too."""
     failure = failures.CoreBroke(verb, repr(failed))
     return [Reply(token, failure), Note("not-judged", failures.as_json(failure)), Dump(failure.tag)]
 
 
 def release_all(ownership, card, leader, successors):
-    """On an orderly stop: give grants back, naming who should follow.  From here
-    on nothing is sent for these shards; the next holder waits out our calls."""
+    """Release all leases in an orderly stop, naming successors.  Nothing is sent for these
+    shards from then on; the next holder waits until calls in flight have ended."""
     effects = []
     for shard, owner in sorted(ownership.owners.items()):
         owner.held.released = True
@@ -250,7 +260,7 @@
 
 
 def has_pending_answers(ownership):
-    """Whether somebody waits until a change of the configuration is durable."""
+    """Whether a response waits for a change of the configuration to become durable."""
     return any(
         owner.held.waiting
         for owner in ownership.owners.values()
