--- a/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
@@ -19,10 +19,10 @@
 __all__ = ["COMMANDS"]
 
 _NODE = option("node", None, "HTTP address of any node", flag=False, default="127.0.0.1:7500")
-_PARTNER = option("partner", "p", "Partner on whose behalf you act", flag=False, default="")
+_PARTNER = option("partner", "p", "The partner whose operator you are", flag=False, default="")
 _TOKEN = option("token-file", None, "File with the partner's token", flag=False)
 _EXPECT = option("expect", None, "Refuse unless this is the current stamp", flag=False)
-_CHANGE = option("change", None, "Id of this change; retry with the same id", flag=False)
+_CHANGE = option("change", None, "Id of this change, for sending it again", flag=False)
 _WAIT = option("wait", "w", "Wait until every node has applied the change", flag=True)
 
 
@@ -198,7 +198,7 @@
 
 class Engines(_OperatorCommand):
     name = "engines"
-    description = "Read the engine list, or change it from a JSON file (the platform only)."
+    description = "Read the engines, or set some from a JSON list (the platform only)."
     arguments = [argument("file", "A JSON list of engines", optional=True)]
     options = [
         _NODE,
@@ -230,7 +230,7 @@
 
 class Why(_OperatorCommand):
     name = "why"
-    description = "Print the unmet placement wishes, and the rule that decided each."
+    description = "Print the unmet wishes, the rule that decided each, and whose wish won."
     arguments = [argument("wish", "Only this wish or service", optional=True)]
     options = [_NODE]
 
@@ -240,7 +240,7 @@
 
 class Tenants(_OperatorCommand):
     name = "tenants"
-    description = "Print each tenant's limit, and the tokens this node got, spent and refused."
+    description = "Print each tenant's limit, and what this node was granted, spent and refused."
     options = [_NODE]
 
     def handle(self):
@@ -249,7 +249,7 @@
 
 class Fleet(_OperatorCommand):
     name = "fleet"
-    description = "Print every node, as the log's leader sees it."
+    description = "Print every node, as the leading log node sees it."
     options = [_NODE]
 
     def handle(self):
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -16,7 +16,7 @@
 from transport import failures
 from transport.effects import Reply
 
-from pulleyhitch import caller_requests, command_forwarding, introspection, shard_ownership
+from pulleyhitch import passages, command_forwarding, introspection, shard_ownership
 from pulleyhitch.command_forwarding import LOG_SHARD, CommandResult
 
 __all__ = [
@@ -103,11 +103,11 @@
 
 
 def _passage(node, now_ms, token, body):
-    return caller_requests.begin(node, now_ms, token, body, routing_peers(node, now_ms))
+    return passages.begin(node, now_ms, token, body, routing_peers(node, now_ms))
 
 
 def _ready(node, now_ms, token, body):
-    return [Reply(token, CommandResult(200 if caller_requests.ready(node, now_ms) else 503, {}))]
+    return [Reply(token, CommandResult(200 if passages.ready(node, now_ms) else 503, {}))]
 
 
 def _leave(node, now_ms, token, body):
@@ -189,7 +189,7 @@
             node.operator.reads.remove(read)
             effects.append(Reply(read.token, failures.MajorityLost(1000)))
     effects += answer_confirmed_reads(node, now_ms)
-    return effects + caller_requests.report_demand(node, now_ms, command_forwarding.holder_address)
+    return effects + passages.report_demand(node, now_ms, command_forwarding.holder_address)
 
 
 def answer_confirmed_reads(node, now_ms):
--- a/libs/pulleyhitch/src/pulleyhitch/caller_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -1,4 +1,4 @@
-"""Callers' requests through the gateway, routed by host and path and proxied unchanged.
+"""Passages: callers' requests through the gateway, routed by host and path and proxied unchanged.
 
 The platform's adapter extracts the facts of a request.  The layout determines its route, its
 service out of the route's split, how long it may be held, and how many attempts it may have.
@@ -41,11 +41,11 @@
         return [Reply(token, failures.Overloaded(200, "closing"))]
     if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
         return [Reply(token, failures.Stale(int(2 * node.times.elect_ms), 0))]
-    matched = routes.match(node.cluster.registry, facts["host"], facts["path"])
+    found = routes.match(node.cluster.registry, facts["host"], facts["path"])
     age_ms = follows.age(node.follower, now_ms)
-    if matched is None:
+    if found is None:
         return [Reply(token, _unless_stale(node, age_ms, failures.NotFound("route")))]
-    name, route = matched
+    name, route = found
     credential = _credential(facts, route)
     tenant = tenants.identify(node.cluster.registry, credential)
     if isinstance(tenant, failures.Failure):
@@ -120,9 +120,9 @@
     for name, outcome in engine_outcomes.take_untold(node.router, now_ms, engines).items():
         _for_shard(node, reports, engines[name]["service"])["outcomes"][name] = outcome
     return [
-        Send(address, Command("", shard, "", "wanted", json.dumps(report).encode()))
+        Send(to, Command("", shard, "", "wanted", json.dumps(report).encode()))
         for shard, report in reports.items()
-        if (address := holder_address(node, shard))
+        if (to := holder_address(node, shard))
     ]
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/role_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/role_commands.py
@@ -59,7 +59,7 @@
 
 class Counter(_RoleCommand):
     name = "counter"
-    description = "Route requests and, while holding a lease of a shard, place models."
+    description = "Route callers' requests and, while holding a lease of a shard, place models."
 
 
 COMMANDS = (Depot, Counter)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -8,7 +8,7 @@
 from placement import floor as floors
 from placement import ledger as ledgers
 from placement import world
-from pulleyhitch import caller_requests
+from pulleyhitch import passages
 from replication import follower
 from routing import choice, router
 from routing.tasks import Leg
@@ -117,7 +117,7 @@
             "key": key,
         }
         self.told[token] = told
-        return _outcomes(caller_requests.begin(self.node, self.now_ms, token, told, CREW))
+        return _outcomes(passages.begin(self.node, self.now_ms, token, told, CREW))
 
     def fails(self, token, proof):
         """An attempt of a request ended without an answer."""
--- a/tests/test_stale_route.py
+++ b/tests/test_stale_route.py
@@ -5,7 +5,7 @@
 from configuration import passages as written
 from configuration.registry import Registry
 from placement import floor as floors
-from pulleyhitch import caller_requests
+from pulleyhitch import passages
 from replication import follower
 from routing import router
 from testtools import TestCase
@@ -34,7 +34,7 @@
 class StaleRoute(TestCase):
     def outcome(self, age_ms):
         told = {"host": "x.example", "path": "/added/lately/"}
-        (reply,) = caller_requests.begin(node_of(age_ms), NOW_MS, "t", told, None)
+        (reply,) = passages.begin(node_of(age_ms), NOW_MS, "t", told, None)
         return reply.outcome
 
     def test_not_there_is_told_only_by_who_knows(self):
