--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -16,7 +16,7 @@
 from transport import failures
 from transport.effects import Reply
 
-from pulleyhitch import passages, command_forwarding, introspection, shard_ownership
+from pulleyhitch import command_forwarding, introspection, passages, shard_ownership
 from pulleyhitch.command_forwarding import LOG_SHARD, CommandResult
 
 __all__ = [
