--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -1,4 +1,4 @@
-"""A counter's process without a fleet, whose core a test puts its own in place of."""
+"""A single counter's process whose core is replaced by a test's own function."""
 
 from pulleyhitch import config, node
 from pulleyhitch.process import Process
@@ -8,9 +8,10 @@
 
 
 def lone_counter(test, handle):
-    """A process, not started, that ends with the test; `handle(event)` returns effects."""
+    """A process, not started yet, that is stopped after the test.  `handle(event)` replaces
+    the core and returns effects."""
     ports = free_ports(2)
-    facts = {
+    settings = {
         "name": "c0",
         "role": "counter",
         "zone": "x",
@@ -18,8 +19,8 @@
         "http": f"127.0.0.1:{ports[1]}",
         "seeds": [f"127.0.0.1:{ports[0]}"],
     }
-    made = Process(config.check(facts))
-    test.addCleanup(made._connections.close)
-    test.addCleanup(made._stopped.set)
+    process = Process(config.check(settings))
+    test.addCleanup(process._connections.close)
+    test.addCleanup(process._stopped.set)
     test.patch(node, "handle", lambda _, now_ms, event: handle(event))
-    return made
+    return process
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""What the listener learns of a connection without reading from it."""
+"""Detection of a closed connection without consuming its data."""
 
 import socket
 from concurrent.futures import ThreadPoolExecutor
@@ -7,31 +7,31 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
 class Peek(TestCase):
     def setUp(self):
         super().setUp()
-        self.ours, self.theirs = socket.socketpair()
-        self.addCleanup(self.ours.close)
-        self.addCleanup(self.theirs.close)
-        self.ours.settimeout(LIMIT_S)
+        self.sock, self.peer = socket.socketpair()
+        self.addCleanup(self.sock.close)
+        self.addCleanup(self.peer.close)
+        self.sock.settimeout(TIMEOUT_S)
 
-    def test_it_never_waits(self):
-        """Also on a socket that has a time limit, as those of callers being served have."""
+    def test_peek_does_not_block(self):
+        """Nor on a socket with a timeout, as connections have while they are served."""
         with ThreadPoolExecutor(1) as pool:
-            looking = pool.submit(admission.peek, self.ours)
+            peeked = pool.submit(admission.peek, self.sock)
             try:
-                self.assertThat(looking.result(timeout=LIMIT_S / 4), Equals(None))
+                self.assertThat(peeked.result(timeout=TIMEOUT_S / 4), Equals(None))
             finally:
-                self.theirs.sendall(b"x")
+                self.peer.sendall(b"x")
 
-    def test_what_is_there_stays_there(self):
-        self.theirs.sendall(b"x")
-        self.assertThat(admission.peek(self.ours), Equals(b"x"))
-        self.assertThat(self.ours.recv(10), Equals(b"x"))
+    def test_peeked_data_stays_readable(self):
+        self.peer.sendall(b"x")
+        self.assertThat(admission.peek(self.sock), Equals(b"x"))
+        self.assertThat(self.sock.recv(10), Equals(b"x"))
 
-    def test_the_other_end_has_closed(self):
-        self.theirs.close()
-        self.assertThat(admission.peek(self.ours), Equals(b""))
+    def test_closed_by_peer(self):
+        self.peer.close()
+        self.assertThat(admission.peek(self.sock), Equals(b""))
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,5 +1,5 @@
-"""The listener on real sockets: only whole requests go on, each answer goes to its own
-connection, and nothing is left behind, however threads take turns."""
+"""The HTTP listener on real sockets: only complete requests are handled, each response goes to
+its own connection, and no state is left behind, however threads are scheduled."""
 
 import json
 import random
@@ -28,37 +28,39 @@
     sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(id_), id_))
 
 
-class Listening(TestCase):
-    def door(self, begin, threads=16, policy=admission.PRODUCT_POLICY):
-        door = Listener("127.0.0.1", 0, threads, begin, lambda data: "rank0", WAIT_S, policy=policy)
-        self.address = door._server_socket.getsockname()
-        thread = threading.Thread(target=door.run, daemon=True)
+class ListenerTestCase(TestCase):
+    def start_listener(self, begin, threads=16, policy=admission.PRODUCT_POLICY):
+        listener = Listener(
+            "127.0.0.1", 0, threads, begin, lambda data: "rank0", WAIT_S, policy=policy
+        )
+        self.address = listener._server_socket.getsockname()
+        thread = threading.Thread(target=listener.run, daemon=True)
         thread.start()
         self.addCleanup(thread.join, WAIT_S)
-        self.addCleanup(door.stop)
-        return door
+        self.addCleanup(listener.stop)
+        return listener
 
     def connect(self):
         sock = socket.create_connection(self.address, timeout=WAIT_S)
         self.addCleanup(sock.close)
         return sock
 
-    def until(self, true):
+    def until(self, condition):
         end_s = time.monotonic() + WAIT_S
-        while not true():
-            self.assertTrue(time.monotonic() < end_s, "it never came about")
+        while not condition():
+            self.assertTrue(time.monotonic() < end_s, "timed out")
             time.sleep(0.002)
 
 
 def received(sock):
-    """All that comes until the connection ends."""
-    got = b""
+    """All bytes until the connection ends."""
+    data = b""
     try:
-        while part := sock.recv(65536):
-            got += part
+        while chunk := sock.recv(65536):
+            data += chunk
     except ConnectionError:
         pass
-    return got
+    return data
 
 
 def reset(sock):
@@ -66,44 +68,44 @@
     sock.close()
 
 
-class Begun(Listening):
+class Framing(ListenerTestCase):
     def setUp(self):
         super().setUp()
-        self.begun = []
-        self.serving = self.door(self.begin)
+        self.handled = []
+        self.listener = self.start_listener(self.begin)
 
     def begin(self, caller):
-        self.begun.append(id_of(caller))
+        self.handled.append(id_of(caller))
         answer(caller.sock, id_of(caller))
 
-    def asked_and_answered(self):
-        """A proper request is still served; all before it has been judged."""
+    def assert_still_serving(self):
+        """A valid request is still served; by then all earlier ones have been handled."""
         sock = self.connect()
         sock.sendall(HEAD % b"proper" + b"Content-Length: 0\r\n\r\n")
         self.assertTrue(received(sock).endswith(b"proper"))
 
-    def test_a_request_that_ends_early_is_refused(self):
+    def test_a_truncated_request_is_refused(self):
         whole = HEAD % b"early" + b"Content-Length: 5\r\n\r\nhello"
-        for at in range(1, len(whole)):
+        for length in range(1, len(whole)):
             sock = self.connect()
-            sock.sendall(whole[:at])
+            sock.sendall(whole[:length])
             sock.shutdown(socket.SHUT_WR)
             self.assertThat(received(sock)[:12], Equals(b"HTTP/1.1 400"))
-        self.assertThat(self.begun, Equals([]))
-        self.asked_and_answered()
+        self.assertThat(self.handled, Equals([]))
+        self.assert_still_serving()
 
-    def test_a_request_that_is_reset_is_nobodys(self):
+    def test_a_request_whose_connection_is_reset_is_dropped(self):
         whole = HEAD % b"reset" + b"Content-Length: 5\r\n\r\nhello"
-        for at in range(1, len(whole), 7):
+        for length in range(1, len(whole), 7):
             sock = self.connect()
-            sock.sendall(whole[:at])
-            self.until(lambda: any(c.data for c in list(self.serving._connections.values())))
+            sock.sendall(whole[:length])
+            self.until(lambda: any(c.data for c in list(self.listener._connections.values())))
             reset(sock)
-            self.until(lambda: not self.serving._connections)
-        self.assertThat((self.begun, self.serving._buffered_bytes), Equals(([], 0)))
-        self.asked_and_answered()
+            self.until(lambda: not self.listener._connections)
+        self.assertThat((self.handled, self.listener._buffered_bytes), Equals(([], 0)))
+        self.assert_still_serving()
 
-    def test_what_cannot_be_read_in_one_way_is_refused(self):
+    def test_ambiguous_requests_are_refused(self):
         for fields, status in (
             (b"Content-Length: 5\r\nContent-Length: 2\r\n\r\nhello", 400),
             (b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -115,21 +117,21 @@
             sock = self.connect()
             sock.sendall(HEAD % b"odd" + fields)
             self.assertThat(received(sock)[:12], Equals(b"HTTP/1.1 %d" % status))
-        self.assertThat(self.begun, Equals([]))
-        self.asked_and_answered()
+        self.assertThat(self.handled, Equals([]))
+        self.assert_still_serving()
 
-    def test_the_limit_that_was_passed_is_told(self):
-        """The one of this request, not the largest of all."""
-        door = self.door(self.begin)
+    def test_the_exceeded_limit_is_reported(self):
+        """The limit of this kind of request, not the largest of all."""
+        listener = self.start_listener(self.begin)
         sock = self.connect()
         sock.sendall(b"POST /v1/task HTTP/1.1\r\nContent-Length: 2000000\r\n\r\n{")
         self.assertThat(
             json.loads(received(sock).split(b"\r\n")[-1])["limitBytes"], Equals(1 << 20)
         )
-        self.until(lambda: not door._connections)
+        self.until(lambda: not listener._connections)
 
-    def test_bytes_after_a_request_are_not_run(self):
-        """Neither pipelined requests nor one inside a body."""
+    def test_bytes_after_a_request_are_ignored(self):
+        """Neither a pipelined request nor one inside a body is handled."""
         inner = HEAD % b"inner" + b"Content-Length: 0\r\n\r\n"
         for sent in (
             HEAD % b"outer" + b"Content-Length: 0\r\n\r\n" + inner,
@@ -139,17 +141,17 @@
             sock = self.connect()
             sock.sendall(sent)
             self.assertThat(received(sock).count(b"HTTP/1.1 200"), Equals(1))
-        self.assertThat(self.begun, Equals([b"outer"] * 3))
+        self.assertThat(self.handled, Equals([b"outer"] * 3))
 
 
-class Leaving(Listening):
-    def test_a_caller_that_leaves_as_its_task_goes_on(self):
-        """Found gone at the very moment at which another thread takes its task over."""
-        future, finished, left, peek = Future(), threading.Event(), [], admission.peek
+class Disconnecting(ListenerTestCase):
+    def test_a_disconnect_while_the_request_resumes(self):
+        """The disconnect is detected just when another thread takes over the request."""
+        future, finished, disconnected, peek = Future(), threading.Event(), [], admission.peek
 
         def begin(caller):
             if id_of(caller) == b"waits":
-                return future, lambda step: finished.set(), lambda: left.append(1)
+                return future, lambda step: finished.set(), lambda: disconnected.append(1)
             answer(caller.sock, id_of(caller))
             return None
 
@@ -161,7 +163,7 @@
             return seen
 
         self.patch(admission, "peek", peek_slowly)
-        door = self.door(begin)
+        listener = self.start_listener(begin)
         sock = self.connect()
         sock.sendall(HEAD % b"waits" + b"Content-Length: 0\r\n\r\n")
         sock.shutdown(socket.SHUT_WR)
@@ -169,13 +171,13 @@
         other = self.connect()
         other.sendall(HEAD % b"other" + b"Content-Length: 0\r\n\r\n")
         self.assertTrue(received(other).endswith(b"other"))
-        self.until(lambda: not door._connections)
-        self.assertThat(left, Equals([]))
+        self.until(lambda: not listener._connections)
+        self.assertThat(disconnected, Equals([]))
 
 
-class Stress(Listening):
-    """Callers that wait, leave, reset and cut off, while threads switch as often as
-    they can."""
+class Stress(ListenerTestCase):
+    """Callers that wait, disconnect, reset and truncate, with the shortest thread switch
+    interval."""
 
     CALLERS, EACH = 12, 40
 
@@ -185,9 +187,9 @@
         self.addCleanup(sys.setswitchinterval, before)
         sys.setswitchinterval(1e-6)
         self.lock = threading.Lock()
-        self.waiting, self.finished, self.begun, self.left = [], [], [], []
+        self.waiting, self.finished, self.handled, self.disconnected = [], [], [], []
         self.stop = threading.Event()
-        self.serving = self.door(self.begin, threads=32)
+        self.listener = self.start_listener(self.begin, threads=32)
         resolver = threading.Thread(target=self.resolve, daemon=True)
         resolver.start()
         self.addCleanup(resolver.join, WAIT_S)
@@ -196,7 +198,7 @@
     def begin(self, caller):
         id_ = id_of(caller)
         with self.lock:
-            self.begun.append(id_)
+            self.handled.append(id_)
         if random.Random(id_).random() < 0.4:
             answer(caller.sock, id_)
             return None
@@ -205,20 +207,20 @@
         def finish(step):
             with self.lock:
                 self.finished.append(id_)
-            if step == "leg":
+            if step == "resume":
                 answer(caller.sock, id_)
 
-        def left():
+        def disconnected():
             with self.lock:
-                self.left.append(id_)
+                self.disconnected.append(id_)
             self.settle(future, "gone")
 
         with self.lock:
             self.waiting.append(future)
-        return future, finish, left
+        return future, finish, disconnected
 
     def settle(self, future, step):
-        """The owner's word: the first one counts."""
+        """Resolve a request as the owner thread would; only the first outcome counts."""
         with self.lock:
             first = future in self.waiting
             if first:
@@ -232,42 +234,44 @@
             with self.lock:
                 future = rng.choice(self.waiting) if self.waiting else None
             if future is not None:
-                self.settle(future, "leg")
+                self.settle(future, "resume")
             time.sleep(0)
 
-    def calls(self, number):
-        """One caller's requests: (how many were answered, what was wrong)."""
-        rng, answered, wrong = random.Random(number), 0, []
+    def send_requests(self, number):
+        """One caller's requests: (number of responses, wrong responses)."""
+        rng, answered, wrong_responses = random.Random(number), 0, []
         for turn in range(self.EACH):
             id_ = b"%d.%d" % (number, turn)
             whole = HEAD % id_ + b"Content-Length: 3\r\n\r\nabc"
-            fate = rng.choice(("stay", "stay", "stay", "leave", "reset", "cut"))
+            behaviour = rng.choice(("stay", "stay", "stay", "leave", "reset", "cut"))
             with socket.create_connection(self.address, timeout=WAIT_S) as sock:
-                if fate == "cut":
+                if behaviour == "cut":
                     sock.sendall(whole[: rng.randrange(len(whole))])
                     reset(sock)
                     continue
                 sock.sendall(whole)
-                if fate == "reset":
+                if behaviour == "reset":
                     reset(sock)
-                elif fate == "stay":
-                    got = received(sock)
+                elif behaviour == "stay":
+                    data = received(sock)
                     answered += 1
-                    if got.partition(b"\r\n\r\n")[2] != id_:
-                        wrong.append((id_, got))
-        return answered, wrong
+                    if data.partition(b"\r\n\r\n")[2] != id_:
+                        wrong_responses.append((id_, data))
+        return answered, wrong_responses
 
-    def test_each_answer_is_its_callers_own(self):
+    def test_each_caller_gets_its_own_response(self):
         with ThreadPoolExecutor(self.CALLERS) as pool:
-            found = list(pool.map(self.calls, range(self.CALLERS)))
-        self.assertThat([wrong for _, wrong in found], Equals([[]] * self.CALLERS))
-        self.until(lambda: not self.serving._connections)
-        door = self.serving
-        self.until(lambda: door._free_threads == door._thread_shares)
-        self.assertThat((door._buffered_bytes, door._thread_queue), Equals((0, [])))
+            found = list(pool.map(self.send_requests, range(self.CALLERS)))
+        self.assertThat(
+            [wrong_responses for _, wrong_responses in found], Equals([[]] * self.CALLERS)
+        )
+        self.until(lambda: not self.listener._connections)
+        listener = self.listener
+        self.until(lambda: listener._free_threads == listener._thread_shares)
+        self.assertThat((listener._buffered_bytes, listener._thread_queue), Equals((0, [])))
         with self.lock:
             self.assertThat(self.waiting, Equals([]))
             self.assertThat(len(set(self.finished)), Equals(len(self.finished)))
-            self.assertThat(len(set(self.begun)), Equals(len(self.begun)))
-            self.assertThat(len(set(self.left)), Equals(len(self.left)))
-            self.assertTrue(set(self.finished) <= set(self.begun))
+            self.assertThat(len(set(self.handled)), Equals(len(self.handled)))
+            self.assertThat(len(set(self.disconnected)), Equals(len(self.disconnected)))
+            self.assertTrue(set(self.finished) <= set(self.handled))
--- a/tests/test_operator_gateway.py
+++ b/tests/test_operator_gateway.py
@@ -1,4 +1,5 @@
-"""The door for operators' calls: many wait at once, and nothing is done for those who left."""
+"""The gateway for operators' requests: many wait at once, and requests of operators that have
+disconnected are dropped."""
 
 import json
 import queue
@@ -19,7 +20,7 @@
 
 
 class Process:
-    """What the gateway asks of a process: it notes what is posted, and answers when told."""
+    """A stand-in for the process: it records requests; the test resolves their futures."""
 
     def __init__(self):
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -31,25 +32,25 @@
         )
         self.dialect = DIALECT
         self.ring = SimpleNamespace(note=lambda *what, **why: None)
-        self.posted, self.told = queue.SimpleQueue(), queue.SimpleQueue()
+        self.submitted, self.notified = queue.SimpleQueue(), queue.SimpleQueue()
 
     def submit(self, token, verb, body):
         future = Future()
-        self.posted.put((token, verb, body, future))
+        self.submitted.put((token, verb, body, future))
         return future
 
     def notify(self, token, verb, body):
-        self.told.put((token, verb))
+        self.notified.put((token, verb))
 
 
-class Calls(TestCase):
+class OperatorRequests(TestCase):
     def setUp(self):
         super().setUp()
         self.process = Process()
         self.gateway = OperatorGateway(self.process)
 
     def serve(self):
-        """The gateway's thread ends with the test's process, as it does with a node's."""
+        """Run the gateway on a daemon thread, which ends with the test process."""
         threading.Thread(target=self.gateway.run, daemon=True).start()
 
     def connect(self, method="POST", path="/evacuate/zone-a"):
@@ -60,29 +61,29 @@
 
     def answer(self, sock):
         with sock:
-            got = b""
+            received = b""
             while chunk := sock.recv(65536):
-                got += chunk
-        head, _, body = got.partition(b"\r\n\r\n")
+                received += chunk
+        head, _, body = received.partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(body)
 
-    def test_eight_orders_wait_at_once(self):
-        """More than there are threads for operators; one that comes later is served first."""
+    def test_eight_requests_wait_at_once(self):
+        """More than the threads for operators; a later request is answered before them."""
         self.serve()
         waiting = [self.connect() for _ in range(8)]
-        posted = [self.process.posted.get(timeout=WAIT_S) for _ in waiting]
+        submitted = [self.process.submitted.get(timeout=WAIT_S) for _ in waiting]
         last = self.connect("DELETE")
-        token, verb, body, future = self.process.posted.get(timeout=WAIT_S)
+        token, verb, body, future = self.process.submitted.get(timeout=WAIT_S)
         self.assertThat((verb, body["evacuated"]), Equals(("zone", False)))
         future.set_result(CommandResult(200, {"stamp": 2}))
         self.assertThat(self.answer(last), Equals((200, {"stamp": 2})))
-        for *_, future in posted:
+        for *_, future in submitted:
             future.set_result(CommandResult(200, {"stamp": 1}))
         with ThreadPoolExecutor(len(waiting)) as pool:
             found = list(pool.map(self.answer, waiting))
         self.assertThat(found, Equals([(200, {"stamp": 1})] * 8))
 
-    def test_a_failure_is_told_by_its_status(self):
+    def test_status_of_failures(self):
         self.serve()
         for outcome, status in (
             (failures.NoHolder(1000, 0), 503),
@@ -91,49 +92,49 @@
             (CommandResult(200, {"stamp": 3}), 200),
         ):
             sock = self.connect()
-            *_, future = self.process.posted.get(timeout=WAIT_S)
+            *_, future = self.process.submitted.get(timeout=WAIT_S)
             future.set_result(outcome)
             self.assertThat(self.answer(sock)[0], Equals(status))
 
-    def test_an_evacuation_that_nobody_confirms_in_time(self):
-        """The owner's failure is told, not dropped, and with when to come back."""
+    def test_an_evacuation_that_is_not_confirmed_in_time(self):
+        """The client gets the failure; the response isn't dropped."""
         self.serve()
         for method in ("POST", "DELETE"):
             sock = self.connect(method)
-            *_, future = self.process.posted.get(timeout=WAIT_S)
+            *_, future = self.process.submitted.get(timeout=WAIT_S)
             future.set_result(failures.MajorityLost(1000))
-            status, told = self.answer(sock)
-            self.assertThat((status, told["failure"]), Equals((503, "majority-lost")))
+            status, body = self.answer(sock)
+            self.assertThat((status, body["failure"]), Equals((503, "majority-lost")))
 
-    def test_who_left_before_the_call_was_read(self):
-        """The node stood still; its operator has long asked another one."""
-        gone = self.connect()
-        gone.close()
+    def test_disconnected_before_the_request_was_read(self):
+        """After a pause of the node, its operator has already gone to another node."""
+        closed = self.connect()
+        closed.close()
         self.serve()
-        here = self.connect("DELETE")
-        token, verb, body, future = self.process.posted.get(timeout=WAIT_S)
+        open_sock = self.connect("DELETE")
+        token, verb, body, future = self.process.submitted.get(timeout=WAIT_S)
         self.assertThat(body["evacuated"], Equals(False))
         future.set_result(CommandResult(200, {"stamp": 1}))
-        self.assertThat(self.answer(here)[0], Equals(200))
-        self.assertTrue(self.process.posted.empty())
+        self.assertThat(self.answer(open_sock)[0], Equals(200))
+        self.assertTrue(self.process.submitted.empty())
 
-    def test_who_leaves_while_the_call_waits(self):
+    def test_disconnected_while_the_request_waits(self):
         self.serve()
         sock = self.connect()
-        token, *_ = self.process.posted.get(timeout=WAIT_S)
+        token, *_ = self.process.submitted.get(timeout=WAIT_S)
         sock.close()
-        self.assertThat(self.process.told.get(timeout=WAIT_S), Equals((token, "abandoned")))
+        self.assertThat(self.process.notified.get(timeout=WAIT_S), Equals((token, "abandoned")))
 
-    def test_a_body_that_is_cut_short(self):
-        """Not a refusal: the same order, whole, may have been taken already."""
+    def test_a_truncated_body(self):
+        """Status 408, not a refusal: the same change may already have been accepted."""
         self.serve()
         host, _, port = self.process.address.rpartition(":")
         with socket.create_connection((host, int(port)), timeout=WAIT_S) as sock:
             head = "PUT /config HTTP/1.1\r\nHost: x\r\nIf-Match: 3\r\nContent-Length: 90\r\n\r\n"
             sock.sendall(head.encode() + b'{"edition": 4')
             sock.shutdown(socket.SHUT_WR)
-            got = b""
+            received = b""
             while chunk := sock.recv(65536):
-                got += chunk
-        self.assertThat(got.split()[1], Equals(b"408"))
-        self.assertTrue(self.process.posted.empty())
+                received += chunk
+        self.assertThat(received.split()[1], Equals(b"408"))
+        self.assertTrue(self.process.submitted.empty())
--- a/tests/test_door.py
+++ b/tests/test_overload.py
@@ -1,4 +1,5 @@
-"""The door on real processes: what leans on it keeps nobody else out."""
+"""The HTTP listener under load: on real processes, a flood of requests of one class does not
+starve requests of a higher class."""
 
 import dataclasses
 import json
@@ -15,9 +16,9 @@
 TASK = {"service": "guidance", "model": "m00", "class": "reroute", "prompt": "p"}
 
 
-class Crowds(TestCase):
-    """A store that bears a load each ten seconds, so that rare models are waited
-    for; few threads, so that a crowd could take them all."""
+class Overload(TestCase):
+    """The weight store allows one load each ten seconds, so that requests for rare models
+    wait; there are so few threads that these requests could occupy all of them."""
 
     def setUp(self):
         super().setUp()
@@ -30,7 +31,7 @@
         self.fleet.furnish()
         self.fleet.until(lambda: self.fleet.call("c0", "POST", "/v1/task", TASK)[0] == 200)
 
-    def test_a_crowd_shuts_out_nobody_above_it(self):
+    def test_a_flood_does_not_starve_higher_classes(self):
         crowd = crowding.Crowd(self.fleet, "c0")
         self.addCleanup(crowd.leave)
         crowd.press(200, 40, 0, 60)
@@ -47,32 +48,32 @@
         crowd.leave()
         self.fleet.until(lambda: waiting() == 0)
 
-    def test_a_request_that_never_gets_whole_is_given_up(self):
+    def test_an_incomplete_request_times_out(self):
         host, _, port = self.fleet.http["c1"].rpartition(":")
         with socket.create_connection((host, int(port)), timeout=60) as sock:
             sock.sendall(b"POST /v1/task HTTP/1.1\r\nContent-Length: 90\r\n\r\n{")
-            got = b""
+            received = b""
             while chunk := sock.recv(4096):
-                got += chunk
-        self.assertTrue(got.startswith(b"HTTP/1.1 408"), got)
+                received += chunk
+        self.assertTrue(received.startswith(b"HTTP/1.1 408"), received)
         self.assertThat(
-            json.loads(got.partition(b"\r\n\r\n")[2])["failure"], Equals("body-malformed")
+            json.loads(received.partition(b"\r\n\r\n")[2])["failure"], Equals("body-malformed")
         )
 
 
-class Knocking(TestCase):
-    def test_whole_and_kind(self):
+class Classification(TestCase):
+    def test_framing_and_class(self):
         post = b"POST /v1/task HTTP/1.1\r\nContent-Length: 20\r\n\r\n"
-        for data, found in (
+        for data, expected in (
             (post[:-2], Incomplete()),
             (post + b"x" * 19, Incomplete()),
             (post + b"x" * 20, Complete(post, b"x" * 20)),
             (post.replace(b"20", b"99999999"), Malformed(413, "body", 8 << 20)),
             (b"x" * 40000, Malformed(431, "head")),
         ):
-            self.assertThat(admission.parse_first_request(data), Equals(found))
+            self.assertThat(admission.parse_first_request(data), Equals(expected))
         ranks = {"night": 2}
-        for data, kind in (
+        for data, request_class in (
             (b"GET /operator/fleet HTTP/1.1", "operator"),
             (b"GET /v1/lookup/tiles/1 HTTP/1.1", "lookup"),
             (b"POST /v1/route/night HTTP/1.1", "rank2"),
@@ -81,9 +82,11 @@
             (post + b"{}", "rank1"),
             (b"\xff\x00", "rank1"),
         ):
-            self.assertThat(admission.classify(data, lambda r: ranks.get(r, 1)), Equals(kind))
+            self.assertThat(
+                admission.classify(data, lambda r: ranks.get(r, 1)), Equals(request_class)
+            )
 
-    def test_a_lower_kind_never_uses_what_is_a_higher_ones(self):
+    def test_a_lower_class_never_uses_the_threads_of_a_higher_one(self):
         order = ("rank2", "rank1", "rank0")
-        for place, kind in enumerate(order):
-            self.assertTrue(set(admission.USABLE_SHARES[kind]) <= set(order[: place + 1]))
+        for index, request_class in enumerate(order):
+            self.assertTrue(set(admission.USABLE_SHARES[request_class]) <= set(order[: index + 1]))
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path on real processes: found, furnish, serve, lose, return."""
+"""End-to-end test on real processes: bootstrap, configure, serve, lose nodes, restart."""
 
 import json
 import signal
@@ -99,26 +99,26 @@
         self.assertThat(body["stamp"], Equals(self.stamp))
 
     def survives_kills(self):
-        fleet, lead = self.fleet, self.leader()
-        fleet.kill(lead)
-        told = fleet.until(lambda: self.evacuate("c2", "north", True))
-        self.assertThat(told["stamp"], GreaterThan(self.stamp))
+        fleet, leader = self.fleet, self.leader()
+        fleet.kill(leader)
+        result = fleet.until(lambda: self.evacuate("c2", "north", True))
+        self.assertThat(result["stamp"], GreaterThan(self.stamp))
         fleet.until(lambda: self.answered("c0"))
-        fleet.start(lead)
+        fleet.start(leader)
         first = self.holder(0)
         fleet.kill(first)
         others = [n for n in fleet.counters if n != first]
-        told = fleet.until(lambda: self.evacuate(others[0], "north", False))
+        result = fleet.until(lambda: self.evacuate(others[0], "north", False))
         fleet.until(lambda: self.answered(others[1]))
         fleet.start(first)
         fleet.until(lambda: self.answered(first))
-        lead = self.leader()
-        self.assertThat(fleet.kill(lead, signal.SIGTERM), Equals(0))
+        leader = self.leader()
+        self.assertThat(fleet.kill(leader, signal.SIGTERM), Equals(0))
         self.assertThat(fleet.kill(self.holder(0), signal.SIGTERM), Equals(0))
         for name in sorted(set(fleet.depots + fleet.counters) - set(fleet.running)):
             fleet.start(name)
         fleet.until(lambda: self.answered("c0"))
-        self.stamp = told["stamp"]
+        self.stamp = result["stamp"]
 
     def survives_all_restarting(self):
         fleet = self.fleet
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -5,7 +5,7 @@
 import tempfile
 from concurrent.futures import ThreadPoolExecutor
 
-import test_answers
+import test_response_integrity
 from simulation import platform_callers as callers
 from simulation import platform_made as made
 from simulation.platform_engine import Sizes, Store
@@ -41,8 +41,8 @@
     def configuration(self):
         service = made.plain_service(self.rng, made.word(self.rng))
         routes = []
-        for name in sorted(test_answers.ROUTES):
-            kind = test_answers.ROUTES[name]["kind"]
+        for name in sorted(test_response_integrity.ROUTES):
+            kind = test_response_integrity.ROUTES[name]["kind"]
             route = made.route(self.rng, f"r-{name}", [service["name"]], kind)
             route.update(transitLimitMs=20000, targetMs=400, tries=TRIES)
             if kind == "stream":
@@ -85,7 +85,7 @@
         for request, tries in asked:
             for answer in tries:
                 count = runs.get(answer.id, 0)
-                said = test_answers.wrong_answer(request, answer, count)
+                said = test_response_integrity.find_violation(request, answer, count)
                 self.assertThat(said, Equals(""), f"{request} {answer} {count}")
                 most = TRIES if request.kind in ("safe", "resumable") else 1
                 self.assertTrue(count <= most, f"{request} {answer} {count}")
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform: found, configured, serving, changed, hurt, stopped."""
+"""End-to-end test on the platform: bootstrap, configuration, serving, changes, failures, stop."""
 
 import random
 import signal
@@ -26,10 +26,10 @@
         self.rng, self.operator = random.Random(SEED), Operator(fleet)
         self.pool = ThreadPoolExecutor(24)
         self.addCleanup(self.pool.shutdown)
-        self.whole, self.sent = self.configuration(), set()
-        self.once = {
+        self.document, self.sent = self.configuration(), set()
+        self.not_repeatable = {
             (r["host"], r["pathPrefix"])
-            for r in self.whole["routes"]
+            for r in self.document["routes"]
             if r["kind"] != "safe" and not r.get("resumable")
         }
         self.furnish()
@@ -62,7 +62,7 @@
 
     def furnish(self):
         """Three engines of models, one in each zone, and four plain ones."""
-        models, one, other = self.whole["services"]
+        models, one, other = self.document["services"]
         parcels = models["engine"]["parcels"]
         self.items = [p["name"] for p in parcels] + [
             f"{p['name']}/a{n + 1}" for p in parcels for n in range(p["inserts"])
@@ -90,18 +90,19 @@
             self.fleet.engine(one["name"], sizes, store, True, zone)
         self.fleet.engine(other["name"], sizes, store, True, self.fleet.zones[0])
 
-    def request(self, number, most=40):
-        route = self.whole["routes"][number]
-        return callers.made(self.rng, route, self.rng.choice(self.items), most)
+    def request(self, number, max_events=40):
+        route = self.document["routes"][number]
+        return callers.made(self.rng, route, self.rng.choice(self.items), max_events)
 
-    def sends(self, address, request):
-        """One try, known as sent: until a change is in force it may rightly run."""
+    def send_recorded(self, address, request):
+        """Send one request and record its id: it may run until a change takes effect."""
         answer = callers.send(address, request)
         self.sent.add(answer.id)
         return answer
 
     def serve(self, requests, addresses=None):
-        """All answered well, each as its own; how often each was tried."""
+        """Send the requests, retrying; each must get its own correct response.  Returns the
+        attempts of each."""
         addresses = addresses or self.fleet.ready
         found = list(
             self.pool.map(
@@ -111,56 +112,56 @@
         for request, tries in zip(requests, found):
             self.sent |= {t.id for t in tries}
             wrong = callers.wrong(request, tries[-1])
-            told = self.why_refused(request, tries) if wrong else ""
-            self.assertThat(wrong, Equals(""), told)
+            refusals = self.why_refused(request, tries) if wrong else ""
+            self.assertThat(wrong, Equals(""), refusals)
         return found
 
     def why_refused(self, request, tries):
-        """What a request met at each try, and what the nodes noted of refusals."""
+        """Responses to the attempts of a request, and the refusals that the nodes logged."""
         lines = [f"{request.kind} {request.headers}", *(f"{t.status} {t.body[:80]}" for t in tries)]
         return "\n".join([*lines, *lines_of(self.fleet.folder, "refused")])
 
     def mixed(self, count):
-        return [self.request(n % len(self.whole["routes"])) for n in range(count)]
+        return [self.request(n % len(self.document["routes"])) for n in range(count)]
 
     def test_path(self):
         self.takes_a_configuration()
         self.serves()
         self.patches_a_route()
         self.evacuates()
-        self.loses_its_leader()
+        self.survives_losing_its_leader()
         self.stops_a_counter()
-        self.goes_on_elsewhere()
-        self.keeps_what_it_was_told()
+        self.survives_an_engine_crash()
+        self.keeps_its_configuration()
 
     def takes_a_configuration(self):
         fleet, send = self.fleet, self.operator.send
-        spoilt = {**self.whole, "services": self.whole["services"][:1]}
-        self.assertThat(send("PUT", "/config", spoilt, 0), Equals(400))
-        self.assertThat(send("PUT", "/config", self.whole, 0), Equals(200))
-        self.assertThat(send("PUT", "/config", self.whole, 0), Equals(200))
-        self.assertThat(send("PUT", "/config", {**self.whole, "edition": 9}, 0), Equals(412))
+        incomplete = {**self.document, "services": self.document["services"][:1]}
+        self.assertThat(send("PUT", "/config", incomplete, 0), Equals(400))
+        self.assertThat(send("PUT", "/config", self.document, 0), Equals(200))
+        self.assertThat(send("PUT", "/config", self.document, 0), Equals(200))
+        self.assertThat(send("PUT", "/config", {**self.document, "edition": 9}, 0), Equals(412))
         fleet.until(lambda: len(fleet.ready()) == 3)
 
     def serves(self):
-        """Every model and adapter, every kind, through each counter."""
+        """Requests for every model, adapter and kind of route, through each counter."""
         streams = [
-            callers.made(self.rng, self.whole["routes"][n % 2], item)
+            callers.made(self.rng, self.document["routes"][n % 2], item)
             for n, item in enumerate(self.items)
         ]
         self.serve(streams)
         for name in self.fleet.counters:
             address = self.fleet.address(name, "counter")
             self.serve(self.mixed(12), lambda a=address: [a])
-        lost = callers.send(
+        not_found = callers.send(
             self.fleet.ready()[0],
-            callers.Request("safe", self.whole["routes"][0]["host"], "/none/x"),
+            callers.Request("safe", self.document["routes"][0]["host"], "/none/x"),
         )
-        self.assertThat(lost.status, Equals(404))
+        self.assertThat(not_found.status, Equals(404))
 
     def patches_a_route(self):
-        """The safe route goes to the other service, one is added and one removed."""
-        route, other = self.whole["routes"][2], self.whole["services"][2]["name"]
+        """A patch moves the safe route to another service, adds a route and removes one."""
+        route, other = self.document["routes"][2], self.document["services"][2]["name"]
         change = {
             "edition": 7,
             "upsert": {
@@ -169,20 +170,22 @@
                     made.route(self.rng, "r-new", [other], "safe"),
                 ]
             },
-            "remove": {"routes": [self.whole["routes"][3]["name"]]},
+            "remove": {"routes": [self.document["routes"][3]["name"]]},
         }
-        gone = self.request(3)
+        removed_route_request = self.request(3)
         self.assertThat(self.operator.send("PATCH", "/config", change, 3), Equals(200))
-        self.whole = made.patched(self.whole, change)
+        self.document = made.patched(self.document, change)
         for name in self.fleet.counters:
             address = self.fleet.address(name, "counter")
-            self.fleet.until(lambda a=address: self.sends(a, gone).status == 404)
+            self.fleet.until(
+                lambda a=address: self.send_recorded(a, removed_route_request).status == 404
+            )
         start_ms = now_ms()
         self.serve([self.request(n) for n in (2, 3) * 12])
         self.assertThat({e.service for e in self.ran_since(start_ms)}, Equals({other}))
 
     def ran_since(self, start_ms):
-        """The engines that began a request since then."""
+        """The engines that have started a request since then."""
         return [e for e in self.fleet.platform.engines() if any(ms >= start_ms for ms, _ in e.ran)]
 
     def evacuates(self):
@@ -202,23 +205,23 @@
                 engine.cold_ms = now_ms() + 2000
         self.assertThat(self.operator.send("DELETE", f"/evacuate/{zone}"), Equals(200))
 
-    def loses_its_leader(self):
-        """Callers go on meanwhile, and a change is taken afterwards."""
+    def survives_losing_its_leader(self):
+        """Requests are served meanwhile, and a change is accepted afterwards."""
         fleet = self.fleet
-        lead = fleet.until(fleet.leader)
-        fleet.kill(lead)
+        leader = fleet.until(fleet.leader)
+        fleet.kill(leader)
         self.serve(self.mixed(24))
         change = {
             "edition": 12,
-            "upsert": {"routes": [{**self.whole["routes"][2], "transitLimitMs": 19000}]},
+            "upsert": {"routes": [{**self.document["routes"][2], "transitLimitMs": 19000}]},
         }
         self.assertThat(self.operator.send("PATCH", "/config", change, 7), Equals(200))
-        self.whole = made.patched(self.whole, change)
-        self.assertThat(fleet.until(fleet.leader) == lead, Equals(False))
-        fleet.start(lead)
+        self.document = made.patched(self.document, change)
+        self.assertThat(fleet.until(fleet.leader) == leader, Equals(False))
+        fleet.start(leader)
 
     def stops_a_counter(self):
-        """What it let in before and after the signal is answered in whole."""
+        """Requests that it accepted before and after the signal get complete responses."""
         fleet, name = self.fleet, self.fleet.counters[0]
         address = fleet.address(name, "counter")
         requests = [self.request(n % 2, 240) for n in range(6)]
@@ -249,38 +252,40 @@
         self.assertThat(fleet.running.pop(name).wait(30), Equals(0))
         self.serve(self.mixed(12))
 
-    def goes_on_elsewhere(self):
-        """An engine crashes under streams that may be resumed: all come whole.  One
-        that starts in its place, cold, is found and used."""
+    def survives_an_engine_crash(self):
+        """An engine crashes under resumable streams: all of them are completed.  A cold engine
+        that starts in its place is discovered and used."""
         requests = [self.request(0, 240) for _ in range(6)]
         self.serve(requests)
         start_ms = now_ms()
         started = self.pool.submit(self.serve, requests)
-        crowded = self.fleet.until(
+        busy_engine = self.fleet.until(
             lambda: next((e for e in self.ran_since(start_ms) if e.running), None)
         )
-        self.fleet.platform.crash(crowded.id)
+        self.fleet.platform.crash(busy_engine.id)
         self.assertThat(len(started.result()), Equals(6))
-        fresh = self.fleet.engine(
-            crowded.service, self.sizes, self.store, False, crowded.zone, warmMs=2000.0
+        replacement = self.fleet.engine(
+            busy_engine.service, self.sizes, self.store, False, busy_engine.zone, warmMs=2000.0
         )
 
         def used():
             self.serve(self.mixed(12))
-            return fresh.ran
+            return replacement.ran
 
         self.fleet.until(used)
 
-    def keeps_what_it_was_told(self):
+    def keeps_its_configuration(self):
         for name in self.fleet.depots:
             self.assertThat(
-                self.fleet.until(lambda n=name: self.operator.read(n)), Equals(self.whole)
+                self.fleet.until(lambda n=name: self.operator.read(n)), Equals(self.document)
             )
         engines = self.fleet.platform.engines()
         self.assertThat([w for e in engines for w in e.wrong], Equals([]))
         ran = [a for e in engines for _, a in e.ran]
         self.assertThat({a.id for a in ran} - self.sent, Equals(set()))
-        once = [a.id for a in ran if (a.host, f"/{a.path.split('/')[1]}/") in self.once]
-        self.assertThat(len(once), GreaterThan(10))
-        self.assertThat(len(set(once)), Equals(len(once)))
+        run_ids = [
+            a.id for a in ran if (a.host, f"/{a.path.split('/')[1]}/") in self.not_repeatable
+        ]
+        self.assertThat(len(run_ids), GreaterThan(10))
+        self.assertThat(len(set(run_ids)), Equals(len(run_ids)))
         self.assertThat(self.fleet.platform.turned_away, Equals(0))
--- a/tests/test_platform_refused.py
+++ b/tests/test_platform_refused.py
@@ -1,4 +1,4 @@
-"""Configurations that can't be taken: refused, the field named, and nothing in force."""
+"""Invalid configurations: refused with the name of the field, and without any effect."""
 
 import copy
 import random
@@ -16,24 +16,24 @@
     def setUp(self):
         super().setUp()
         rng = random.Random(23)
-        self.operator, self.whole = Operator(), made.configuration(rng, 3)
-        self.assertThat(self.operator.send("PUT", self.whole, 0)[0], Equals(200))
-        self.route, self.service = self.whole["routes"][1], self.whole["services"][0]
+        self.operator, self.document = Operator(), made.configuration(rng, 3)
+        self.assertThat(self.operator.send("PUT", self.document, 0)[0], Equals(200))
+        self.route, self.service = self.document["routes"][1], self.document["services"][0]
 
-    def refused(self, method, body, match=3, code=400, field=""):
+    def refused(self, method, body, match=3, expected_status=400, field=""):
         before = self.operator.facts()
         for _ in range(2):
-            found, told = self.operator.send(method, body, match)
-            self.assertThat(found, Equals(code), str(told))
-            self.assertThat(exact(told), Contains(field))
+            status, response_body = self.operator.send(method, body, match)
+            self.assertThat(status, Equals(expected_status), str(response_body))
+            self.assertThat(exact(response_body), Contains(field))
             self.assertThat(self.operator.facts(), Equals(before))
 
     def changed(self, part, number, **facts):
-        """A whole configuration with one item changed; None removes a field."""
-        whole = {**copy.deepcopy(self.whole), "edition": 4}
-        item = {**whole[part][number], **facts}
-        whole[part][number] = {k: v for k, v in item.items() if v is not None}
-        return whole
+        """The configuration with one item changed; None removes a field."""
+        document = {**copy.deepcopy(self.document), "edition": 4}
+        item = {**document[part][number], **facts}
+        document[part][number] = {k: v for k, v in item.items() if v is not None}
+        return document
 
     def test_unreadable(self):
         for body in (
@@ -47,25 +47,25 @@
             b'{"edition": ' + b"9" * 5000 + b"}",
         ):
             self.refused("PUT", body)
-        self.refused("PUT", {**self.whole, "edition": 4}, match="x")
-        self.refused("PUT", {**self.whole, "edition": 4}, match="")
+        self.refused("PUT", {**self.document, "edition": 4}, match="x")
+        self.refused("PUT", {**self.document, "edition": 4}, match="")
 
     def test_not_json(self):
-        """Numbers that JSON doesn't have, and texts that no encoding has."""
+        """Numbers that JSON doesn't have, and strings that can't be encoded."""
         for value in (float("nan"), float("inf"), "\ud800"):
-            self.refused("PUT", {**self.whole, "edition": 4, "limits": {"most": value}})
+            self.refused("PUT", {**self.document, "edition": 4, "limits": {"most": value}})
             self.refused("PUT", self.changed("routes", 1, note=value))
             self.refused("PUT", self.changed("services", 1, name=value))
 
     def test_too_many_levels(self):
-        """What one thread can still read may be too deep for the next."""
-        for levels, good in ((20, True), (100, False), (900, False), (985, False), (990, False)):
+        """A depth that one thread can still parse may be too deep for the next."""
+        for levels, valid in ((20, True), (100, False), (900, False), (985, False), (990, False)):
             body = (
-                exact({**self.whole, "edition": 4, "limits": "@"})
+                exact({**self.document, "edition": 4, "limits": "@"})
                 .replace('"@"', "[" * levels + "]" * levels)
                 .encode()
             )
-            if good:
+            if valid:
                 self.assertThat(Operator().send("PUT", body, 0)[0], Equals(200))
             else:
                 self.refused("PUT", body)
@@ -73,18 +73,18 @@
     def test_parts_of_a_wrong_shape(self):
         for part in ("routes", "services"):
             for value in ({}, None, 3, [3], [{}], [{"name": ""}], [{"name": 4}]):
-                self.refused("PUT", {**self.whole, "edition": 4, part: value}, field=part)
-            without = {k: v for k, v in self.whole.items() if k != part}
+                self.refused("PUT", {**self.document, "edition": 4, part: value}, field=part)
+            without = {k: v for k, v in self.document.items() if k != part}
             self.refused("PUT", {**without, "edition": 4}, field=part)
-            twice = self.whole[part] + [self.whole[part][0]]
-            self.refused("PUT", {**self.whole, "edition": 4, part: twice}, field="twice")
+            twice = self.document[part] + [self.document[part][0]]
+            self.refused("PUT", {**self.document, "edition": 4, part: twice}, field="twice")
         for key in ("upsert", "remove"):
             for value in (3, [], {"routes": 3}, {"other": []}, {"routes": [3]}):
                 self.refused("PATCH", {"edition": 4, key: value})
 
     def test_editions(self):
         for edition in (3, 2, 0, -1, 1.5, "4", True, None):
-            self.refused("PUT", {**self.whole, "edition": edition}, field="edition")
+            self.refused("PUT", {**self.document, "edition": edition}, field="edition")
             self.refused("PATCH", {"edition": edition}, field="edition")
         for match in (0, 2, 4, -3):
             self.refused("PATCH", {"edition": 9}, match, 412, "stamp-stale")
@@ -119,8 +119,8 @@
             self.refused("PUT", self.changed("routes", 1, **facts), field=name)
             self.refused("PUT", self.changed("routes", 1, **facts), field=field)
 
-    def test_the_same_place_twice(self):
-        other = self.whole["routes"][0]
+    def test_duplicate_host_and_prefix(self):
+        other = self.document["routes"][0]
         for host in (other["host"], other["host"].upper()):
             self.refused(
                 "PUT",
@@ -128,8 +128,8 @@
                 field=f"routes.{self.route['name']}.prefix",
             )
 
-    def test_a_service_that_is_still_routed_to(self):
-        name = self.whole["routes"][0]["split"][0]["service"]
+    def test_removing_a_service_that_routes_use(self):
+        name = self.document["routes"][0]["split"][0]["service"]
         self.refused(
             "PATCH", {"edition": 4, "remove": {"services": [name]}}, field=f"no such service {name}"
         )
@@ -158,9 +158,9 @@
             )
 
 
-class Spoilt(TestCase):
-    def test_whatever_is_sent_has_an_answer(self):
-        """Random places of a good configuration spoilt: taken whole or not at all."""
+class Mutated(TestCase):
+    def test_random_mutations(self):
+        """A valid configuration with random values replaced is applied whole or refused."""
         rng = random.Random(4)
         values = [
             None,
@@ -183,18 +183,24 @@
         ]
         for seed in range(400):
             operator = Operator()
-            whole = made.configuration(random.Random(seed % 7), 3, routes=2)
+            document = made.configuration(random.Random(seed % 7), 3, routes=2)
             for _ in range(rng.randrange(1, 3)):
-                at = whole
+                parent = document
                 while True:
-                    key = rng.choice(list(at) if isinstance(at, dict) else range(len(at)))
-                    if not at[key] or not isinstance(at[key], (dict, list)) or rng.random() < 0.2:
+                    key = rng.choice(
+                        list(parent) if isinstance(parent, dict) else range(len(parent))
+                    )
+                    if (
+                        not parent[key]
+                        or not isinstance(parent[key], (dict, list))
+                        or rng.random() < 0.2
+                    ):
                         break
-                    at = at[key]
-                at[key] = copy.deepcopy(rng.choice(values))
-            code, told = operator.send("PUT", whole, 0)
-            self.assertThat([200, 400], Contains(code), str(told))
-            taken = operator.registry.document["edition"] > 0
-            self.assertThat(taken, Equals(code == 200))
-            if taken:
-                self.assertThat(operator.back(), Equals(exact(whole)))
+                    parent = parent[key]
+                parent[key] = copy.deepcopy(rng.choice(values))
+            status, response_body = operator.send("PUT", document, 0)
+            self.assertThat([200, 400], Contains(status), str(response_body))
+            applied = operator.registry.document["edition"] > 0
+            self.assertThat(applied, Equals(status == 200))
+            if applied:
+                self.assertThat(operator.back(), Equals(exact(document)))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,5 +1,5 @@
-"""The owner's loop: ticks come however many events wait, and after a freeze
-what came meanwhile is taken first."""
+"""The owner's loop: ticks come however long the queue is, and after a pause of the process the
+events that arrived meanwhile are handled before the tick."""
 
 import queue
 import threading
@@ -12,7 +12,7 @@
 
 
 class _Endless(queue.SimpleQueue):
-    """Always holds another event."""
+    """A queue that never gets empty."""
 
     def get(self, block=True, timeout=None):
         return events.Received("127.0.0.1:1", None)
@@ -25,9 +25,9 @@
 
 
 class Owner(TestCase):
-    def process(self, seen):
+    def process(self, on_event):
         def handle(event):
-            seen(event)
+            on_event(event)
             return []
 
         return lone_counter(self, handle)
@@ -35,34 +35,34 @@
     def test_ticks_come_under_any_load(self):
         ticked, count = threading.Event(), []
 
-        def seen(event):
+        def on_event(event):
             if isinstance(event, events.Tick):
                 count.append(1)
                 if len(count) == 5:
                     ticked.set()
 
-        made = self.process(seen)
-        made._queue = _Endless()
-        made.start()
+        process_under_test = self.process(on_event)
+        process_under_test._queue = _Endless()
+        process_under_test.start()
         self.assertTrue(ticked.wait(60))
 
-    def test_what_came_during_a_freeze_goes_first(self):
-        """The first event takes ten seconds of the clock; ten wait behind it."""
+    def test_events_of_a_pause_go_before_the_tick(self):
+        """Handling the first event takes ten seconds; ten more are queued behind it."""
         order, done, clock = [], threading.Event(), [0.0]
 
-        def seen(event):
+        def on_event(event):
             if isinstance(event, events.Closing):
                 clock[0] += 10000.0
             order.append(type(event).__name__)
             if len(order) > 11:
                 done.set()
 
-        made = self.process(seen)
+        process_under_test = self.process(on_event)
         self.patch(process, "_now", lambda: clock[0])
-        made._queue.put(events.Closing())
+        process_under_test._queue.put(events.Closing())
         for _ in range(10):
-            made._queue.put(events.Received("a", None))
-        made.start()
+            process_under_test._queue.put(events.Received("a", None))
+        process_under_test.start()
         self.assertTrue(done.wait(60))
         first = order[order.index("Closing") + 1 :]
         self.assertThat(first[:11], Equals(["Received"] * 10 + ["Tick"]))
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""Config, flags, exit codes and hostile HTTP: typed, and nothing changed."""
+"""Config, flags, exit codes and hostile HTTP requests: typed failures, and no effect."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from testtools.matchers import Equals
 from transport import failures
 
-GOOD = {
+VALID = {
     "name": "c0",
     "role": "counter",
     "zone": "x",
@@ -26,15 +26,15 @@
 }
 
 
-def run(*words, **more):
-    """A command of the real program: (exit code, its JSON on either stream)."""
+def run(*arguments, **options):
+    """Run the program: (exit code, its JSON output on stdout or stderr)."""
     done = subprocess.run(
-        [sys.executable, "-m", "pulleyhitch", *words],
+        [sys.executable, "-m", "pulleyhitch", *arguments],
         timeout=60,
         capture_output=True,
         text=True,
         stdin=subprocess.DEVNULL,
-        **more,
+        **options,
     )
     text = done.stdout.strip() or done.stderr.strip()
     try:
@@ -44,8 +44,8 @@
 
 
 class ConfigChecks(TestCase):
-    def test_each_wrong_field_is_named(self):
-        self.assertIsInstance(config.check(GOOD), config.Config)
+    def test_each_invalid_field_is_named(self):
+        self.assertIsInstance(config.check(VALID), config.Config)
         for key, value in (
             ("role", "king"),
             ("name", "Not Good"),
@@ -60,27 +60,27 @@
             ("retryRatio", 7),
             ("tokens", {"p": "short"}),
         ):
-            found = config.check({**GOOD, key: value})
+            found = config.check({**VALID, key: value})
             self.assertIsInstance(found, failures.ConfigWrong, key)
             self.assertThat(found.field.split(".")[0], Equals(key))
-        found = config.check({**GOOD, "role": "depot"})
+        found = config.check({**VALID, "role": "depot"})
         self.assertThat(found.field, Equals("folder"))
-        found = config.check({**GOOD, "bounds": {"layoutMs": 1}})
+        found = config.check({**VALID, "bounds": {"layoutMs": 1}})
         self.assertThat(found.field, Equals("bounds.layoutMs"))
 
-    def test_examples_are_good(self):
+    def test_examples_are_valid(self):
         for path in Path(__file__).parent.parent.glob("examples/*.toml"):
             self.assertIsInstance(config.read(path, {}), config.Config, path.name)
 
     def test_timeouts_follow_the_bounds(self):
-        half = config.check({**GOOD, "bounds": {"serviceBackMs": 6000}})
+        half = config.check({**VALID, "bounds": {"serviceBackMs": 6000}})
         self.assertThat(
-            config.times(half).elect_ms * 2, Equals(config.times(config.check(GOOD)).elect_ms)
+            config.times(half).elect_ms * 2, Equals(config.times(config.check(VALID)).elect_ms)
         )
 
 
-class CallersIds(TestCase):
-    def test_two_callers_with_one_id_are_two_tasks(self):
+class RequestIds(TestCase):
+    def test_the_same_id_of_two_callers_makes_two_tasks(self):
         body = {"service": "s", "prompt": "p", "id": "mine"}
         first, second = (callers.read_task(dict(body), None, 1000)["id"] for _ in range(2))
         self.assertNotEqual(first, second)
@@ -100,21 +100,21 @@
             "--http",
             "127.0.0.1:7500",
         ]
-        code, told = run("depot", *flags, "--address", "nowhere")
-        self.assertThat((code, told["field"]), Equals((2, "address")))
-        code, told = run("counter", "--config", folder + "/none.toml")
-        self.assertThat((code, told["failure"]), Equals((2, "config-wrong")))
+        code, result = run("depot", *flags, "--address", "nowhere")
+        self.assertThat((code, result["field"]), Equals((2, "address")))
+        code, result = run("counter", "--config", folder + "/none.toml")
+        self.assertThat((code, result["failure"]), Equals((2, "config-wrong")))
         with socket.create_server(("127.0.0.1", 0)) as taken:
             address = "127.0.0.1:%d" % taken.getsockname()[1]
-            code, told = run("depot", *flags, "--address", address, "--folder", folder + "/d")
-            self.assertThat((code, told["failure"]), Equals((3, "address-taken")))
+            code, result = run("depot", *flags, "--address", address, "--folder", folder + "/d")
+            self.assertThat((code, result["failure"]), Equals((3, "address-taken")))
         (Path(folder) / "file").write_text("")
-        code, told = run("depot", *flags, "--address", address, "--folder", folder + "/file/x")
-        self.assertThat((code, told["failure"]), Equals((3, "folder-unwritable")))
-        code, told = run("zones", "--node", address)
-        self.assertThat((code, told["failure"]), Equals((5, "unreachable")))
-        code, told = run("layout", folder + "/none.json", "-p", "small")
-        self.assertThat((code, told["field"]), Equals((2, "file")))
+        code, result = run("depot", *flags, "--address", address, "--folder", folder + "/file/x")
+        self.assertThat((code, result["failure"]), Equals((3, "folder-unwritable")))
+        code, result = run("zones", "--node", address)
+        self.assertThat((code, result["failure"]), Equals((5, "unreachable")))
+        code, result = run("layout", folder + "/none.json", "-p", "small")
+        self.assertThat((code, result["field"]), Equals((2, "file")))
         self.assertThat(run("--version")[0], Equals(0))
         self.assertThat(run("depot", "--help")[0], Equals(0))
 
@@ -154,65 +154,76 @@
         body = deployments.sections(deployments.SMALL)[1][1]
         body["services"]["guidance"]["shares"] = {"small": 1.0}
         section = self.file("small.json", body)
-        mine = ["-p", "small", *token]
-        code, told = run("layout", section, "-p", "other", *token, *self.at("c0"))
-        self.assertThat((code, told["failure"]), Equals((1, "wrong-partner")))
-        code, told = run("layout", section, "-p", "small", *self.at("c0"))
-        self.assertThat((code, told["failure"]), Equals((1, "wrong-partner")))
-        code, told = run("layout", section, *mine, "--wait", "--change", "one", *self.at("d2"))
-        self.assertThat((code, told["stamp"], told["followed"]["notYet"]), Equals((0, 1, [])))
-        code, told = run("layout", section, *mine, "--change", "one", *self.at("c1"))
-        self.assertThat((code, told), Equals((0, {"stamp": 1, "again": True})))
+        credentials = ["-p", "small", *token]
+        code, result = run("layout", section, "-p", "other", *token, *self.at("c0"))
+        self.assertThat((code, result["failure"]), Equals((1, "wrong-partner")))
+        code, result = run("layout", section, "-p", "small", *self.at("c0"))
+        self.assertThat((code, result["failure"]), Equals((1, "wrong-partner")))
+        code, result = run(
+            "layout", section, *credentials, "--wait", "--change", "one", *self.at("d2")
+        )
+        self.assertThat((code, result["stamp"], result["followed"]["notYet"]), Equals((0, 1, [])))
+        code, result = run("layout", section, *credentials, "--change", "one", *self.at("c1"))
+        self.assertThat((code, result), Equals((0, {"stamp": 1, "again": True})))
         patch = self.file("patch.json", {"routes": {"new": {"service": "guidance"}}})
-        code, told = run("layout", patch, *mine, "--partial", "--expect", "7", *self.at("c2"))
-        self.assertThat((code, told["failure"], told["current"]), Equals((1, "stamp-stale", 1)))
-        code, told = run("layout", patch, *mine, "--partial", "--expect", "1", *self.at("c2"))
-        self.assertThat((code, told["stamp"]), Equals((0, 2)))
-        code, told = run("evacuate", "south", *mine, *self.at("d0"))
-        self.assertThat((code, told["stamp"]), Equals((0, 3)))
-        code, told = run("zones", *self.at("c0"))
-        self.assertThat(told["evacuated"], Equals({"south": 3}))
-        code, told = run("compare", self.fleet.http["c0"], self.fleet.http["d1"])
+        code, result = run(
+            "layout", patch, *credentials, "--partial", "--expect", "7", *self.at("c2")
+        )
+        self.assertThat((code, result["failure"], result["current"]), Equals((1, "stamp-stale", 1)))
+        code, result = run(
+            "layout", patch, *credentials, "--partial", "--expect", "1", *self.at("c2")
+        )
+        self.assertThat((code, result["stamp"]), Equals((0, 2)))
+        code, result = run("evacuate", "south", *credentials, *self.at("d0"))
+        self.assertThat((code, result["stamp"]), Equals((0, 3)))
+        code, result = run("zones", *self.at("c0"))
+        self.assertThat(result["evacuated"], Equals({"south": 3}))
+        code, result = run("compare", self.fleet.http["c0"], self.fleet.http["d1"])
         self.assertThat(code, Equals(0))
-        self.assertIn("stamp", told["same"])
-        code, told = run("layout", "-p", "small", *self.at("d1"))
-        self.assertIn("new", told["partners"]["small"]["section"]["routes"])
-        self.told_apart(token)
-        self.hostile_http()
-
-    def told_apart(self, token):
-        """Partners leave the engine list to the platform, and the platform theirs."""
+        self.assertIn("stamp", result["same"])
+        code, result = run("layout", "-p", "small", *self.at("d1"))
+        self.assertIn("new", result["partners"]["small"]["section"]["routes"])
+        self.check_authorization(token)
+        self.check_hostile_http()
+
+    def check_authorization(self, token):
+        """Only the platform may change the engine list, and it may change nothing else."""
         engines = self.file(
             "engines.json",
             deployments.engine_list(deployments.SMALL, lambda n: "http://127.0.0.1:1"),
         )
-        theirs = ["-p", "platform", "--token-file", self.file("ptoken", "platform-token")]
-        code, told = run("engines", engines, "-p", "small", *token, *self.at("c0"))
-        self.assertThat((code, told["failure"]), Equals((1, "wrong-partner")))
-        code, told = run("evacuate", "south", *theirs, *self.at("c0"))
-        self.assertThat((code, told["failure"]), Equals((1, "wrong-partner")))
-        code, told = run("engines", engines, *theirs, *self.at("c1"))
-        self.assertThat((code, told.get("stamp")), Equals((0, 4)), str(told))
-
-    def hostile_http(self):
-        """Oversized, cut short, not JSON, unknown paths and methods."""
+        platform_credentials = [
+            "-p",
+            "platform",
+            "--token-file",
+            self.file("ptoken", "platform-token"),
+        ]
+        code, result = run("engines", engines, "-p", "small", *token, *self.at("c0"))
+        self.assertThat((code, result["failure"]), Equals((1, "wrong-partner")))
+        code, result = run("evacuate", "south", *platform_credentials, *self.at("c0"))
+        self.assertThat((code, result["failure"]), Equals((1, "wrong-partner")))
+        code, result = run("engines", engines, *platform_credentials, *self.at("c1"))
+        self.assertThat((code, result.get("stamp")), Equals((0, 4)), str(result))
+
+    def check_hostile_http(self):
+        """Oversized, truncated, not JSON, unknown paths and methods."""
         host, port = self.fleet.http["c0"].split(":")
 
-        def say(data):
+        def send(data):
             with socket.create_connection((host, int(port)), timeout=40) as sock:
                 sock.sendall(data)
                 sock.shutdown(socket.SHUT_WR)
-                got = b""
+                response = b""
                 while chunk := sock.recv(65536):
-                    got += chunk
-            return int(got.split(b" ", 2)[1]) if got else 0
+                    response += chunk
+            return int(response.split(b" ", 2)[1]) if response else 0
 
         post = b"POST /v1/task HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s"
-        self.assertThat(say(post % (2 << 20, b"{")), Equals(413))
-        self.assertThat(say(post % (50, b"{}")), Equals(400))
-        self.assertThat(say(post % (3, b"nul")), Equals(400))
-        self.assertThat(say(post % (9000, b"[" * 9000)), Equals(400))
-        self.assertThat(say(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n"), Equals(404))
-        self.assertThat(say(b"DELETE /v1/task HTTP/1.1\r\nHost: x\r\n\r\n"), Equals(405))
-        code, told = run("zones", *self.at("c0"))
-        self.assertThat((code, told["stamp"]), Equals((0, 4)))
+        self.assertThat(send(post % (2 << 20, b"{")), Equals(413))
+        self.assertThat(send(post % (50, b"{}")), Equals(400))
+        self.assertThat(send(post % (3, b"nul")), Equals(400))
+        self.assertThat(send(post % (9000, b"[" * 9000)), Equals(400))
+        self.assertThat(send(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n"), Equals(404))
+        self.assertThat(send(b"DELETE /v1/task HTTP/1.1\r\nHost: x\r\n\r\n"), Equals(405))
+        code, result = run("zones", *self.at("c0"))
+        self.assertThat((code, result["stamp"]), Equals((0, 4)))
--- a/tests/test_request_framing.py
+++ b/tests/test_request_framing.py
@@ -1,4 +1,4 @@
-"""Where a request ends: read in one way only, and never passed on unless it is whole."""
+"""Framing of requests: ambiguous requests are refused, and incomplete ones are never complete."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,34 +12,34 @@
 bodies = st.binary(max_size=300)
 
 
-def in_chunks(body, sizes, extension=b"", trailers=b""):
-    """A body cut into chunks of the given sizes, over and over."""
+def encode_chunked(body, sizes, extension=b"", trailers=b""):
+    """The body in chunked encoding; the sizes are used in turn."""
     out, at, turn = b"", 0, 0
     while at < len(body):
-        part = body[at : at + sizes[turn % len(sizes)]]
-        out += b"%x%s\r\n%s\r\n" % (len(part), extension, part)
-        at, turn = at + len(part), turn + 1
+        chunk = body[at : at + sizes[turn % len(sizes)]]
+        out += b"%x%s\r\n%s\r\n" % (len(chunk), extension, chunk)
+        at, turn = at + len(chunk), turn + 1
     return out + b"0\r\n" + trailers + b"\r\n"
 
 
 @st.composite
 def requests(draw):
-    """(a proper request, its body)"""
+    """(valid request, its body)"""
     body = draw(bodies)
     if draw(st.booleans()):
         return HEAD + b"Content-Length: %d\r\n\r\n%s" % (len(body), body), body
     sizes = draw(st.lists(st.integers(1, 90), min_size=1, max_size=4))
     extension = draw(st.sampled_from([b"", b";a=b", b" ; x"]))
     trailers = draw(st.sampled_from([b"", b"X-Sum: 1\r\n"]))
-    sent = in_chunks(body, sizes, extension, trailers)
+    sent = encode_chunked(body, sizes, extension, trailers)
     return HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + sent, body
 
 
-class Proper(TestCase):
+class Valid(TestCase):
     @settings(max_examples=150, derandomize=True, deadline=None)
     @given(requests(), st.binary(max_size=40))
-    def test_whole_wherever_it_is_cut(self, request, after):
-        """Each shorter part is incomplete; what follows changes nothing."""
+    def test_every_prefix_is_incomplete(self, request, after):
+        """Each prefix is incomplete, and bytes after the request change nothing."""
         sent, body = request
         end = sent.find(b"\r\n\r\n") + 4
         for at in range(len(sent)):
@@ -56,11 +56,11 @@
 
 class Refused(TestCase):
     def refused(self, sent, status=400):
-        found = parse_request(bytearray(sent), LIMIT_BYTES)
-        self.assertIsInstance(found, Malformed, f"{sent[:80]} {found}")
-        self.assertThat(found.status, Equals(status))
+        parsed = parse_request(bytearray(sent), LIMIT_BYTES)
+        self.assertIsInstance(parsed, Malformed, f"{sent[:80]} {parsed}")
+        self.assertThat(parsed.status, Equals(status))
 
-    def test_a_length_that_can_be_read_in_two_ways(self):
+    def test_ambiguous_lengths(self):
         for fields in (
             b"Content-Length: 5\r\nContent-Length: 2\r\n",
             b"Content-Length: 5\r\nContent-Length: 5\r\n",
@@ -117,12 +117,12 @@
         self.refused(HEAD + b"Transfer-Encoding: chunked\r\n\r\n1389\r\n", 413)
 
 
-class Anything(TestCase):
+class Fuzzing(TestCase):
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(requests(), st.data())
-    def test_a_spoilt_request_ends_somewhere_or_nowhere(self, request, data):
-        """Bytes changed, dropped or put in: judged without an error and without end, and
-        what is whole never holds more than came."""
+    def test_mutated_requests(self, request, data):
+        """Bytes are changed, dropped or inserted: parsing returns without an exception, and a
+        complete request never holds more bytes than were sent."""
         sent = bytearray(request[0])
         for _ in range(data.draw(st.integers(1, 4))):
             at = data.draw(st.integers(0, len(sent) - 1))
@@ -132,9 +132,9 @@
             )
             if not sent:
                 return
-        found = parse_request(sent, LIMIT_BYTES)
-        if isinstance(found, Complete):
-            self.assertTrue(sent.startswith(found.head))
-            self.assertTrue(len(found.head) + len(found.body) <= len(sent))
+        parsed = parse_request(sent, LIMIT_BYTES)
+        if isinstance(parsed, Complete):
+            self.assertTrue(sent.startswith(parsed.head))
+            self.assertTrue(len(parsed.head) + len(parsed.body) <= len(sent))
         else:
-            self.assertIsInstance(found, (Incomplete, Malformed))
+            self.assertIsInstance(parsed, (Incomplete, Malformed))
--- a/tests/test_answers.py
+++ b/tests/test_response_integrity.py
@@ -1,5 +1,7 @@
-"""Callers, one whole node and engines that misbehave, over real sockets: each answer is
-its caller's own, whole or visibly cut, and what may not be repeated runs once."""
+"""Response integrity with faulty engines, over real sockets: each response belongs to its
+request and is complete or visibly truncated, and a request that isn't repeatable runs once.
+
+A state machine of Hypothesis sends requests to a node while engines have random faults."""
 
 import dataclasses
 import socket
@@ -24,11 +26,11 @@
 from simulation.platform_serving import EngineDoor, now_ms
 
 WAIT_S = 30
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 HOST = "h"
-# Engines bear their slots from the start, so that faults and not a ramp decide.
+# Engines take all their slots from the start: faults decide, not the warm-up.
 WARM = {"warmPerS": 0.0, "warmMs": 0.0}
-# How long an engine that broke a leg is left alone.
+# Pause of an engine after a failed attempt.
 PAUSE_MS = 5.0
 TRIES = 3
 ROUTES = {
@@ -57,25 +59,25 @@
 
 
 class Node:
-    """A counter in this process, whose layout is given and never old, and its engines."""
+    """A counter in this process, with a fixed layout that never gets stale, and its engines."""
 
     def __init__(self):
         ports = free_ports(6)
-        at = [f"127.0.0.1:{port}" for port in ports]
-        told = {
+        addresses = [f"127.0.0.1:{port}" for port in ports]
+        raw_config = {
             "name": "c0",
             "role": "counter",
             "zone": "z",
-            "address": at[0],
-            "http": at[1],
-            "seeds": [at[0]],
-            "doors": {"callers": at[2]},
+            "address": addresses[0],
+            "http": addresses[1],
+            "seeds": [addresses[0]],
+            "doors": {"callers": addresses[2]},
             "retryRatio": 1.0,
             "retryAllowance": 1e6,
         }
-        self.address, self.past = at[2], []
-        self.doors = {f"e{n}": self._door(f"e{n}", at[3 + n]) for n in range(3)}
-        self.process = Process(config.check(told), DIALECT)
+        self.address, self.past = addresses[2], []
+        self.doors = {f"e{n}": self._door(f"e{n}", addresses[3 + n]) for n in range(3)}
+        self.process = Process(config.check(raw_config), DIALECT)
         node = self.process._node
         section = passages.section(routes(), {"s": {"kind": "plain", **WARM}})
         node.cluster.registry = Registry(
@@ -104,15 +106,15 @@
             door.close()
 
     def runs(self):
-        """{request id: how often it ran}"""
+        """Number of runs on the engines, by request id."""
         found = {}
         for door in self.doors.values():
-            for _, asked in list(door.engine.ran):
-                found[asked.id] = found.get(asked.id, 0) + 1
+            for _, request in list(door.engine.ran):
+                found[request.id] = found.get(request.id, 0) + 1
         return found
 
-    def at_rest(self):
-        """Whether nothing of any request is left in any table."""
+    def is_idle(self):
+        """Whether no table holds anything of a request."""
         router, door = self.process._node.router, self.gateway._listener
         return (
             not router.tasks
@@ -125,15 +127,15 @@
 
     def settle(self):
         end_s = time.monotonic() + WAIT_S
-        while not self.at_rest():
+        while not self.is_idle():
             if time.monotonic() > end_s:
                 return False
             time.sleep(0.005)
         return True
 
 
-def made(kind, number, deadline_ms=15000):
-    """A request; streams are of four events."""
+def make_request(kind, number, deadline_ms=15000):
+    """A request; streams have four events."""
     headers = () if kind in ("safe", "unsafe") else ("X-Tokens: 10,16",)
     body = b"" if number % 3 == 0 else b"%d" % number
     return callers.Request(
@@ -141,26 +143,26 @@
     )
 
 
-def wrong_answer(request, answer, runs):
-    """What is wrong with an answer, or an empty text."""
-    if answer.status in PROMISES and runs:
-        return "a promise was broken"
-    told = answer.headers.get("content-length")
-    if told is not None and len(answer.body) > int(told):
-        return "bytes beyond the answer"
+def find_violation(request, answer, runs):
+    """Description of a violation in a response, or an empty string."""
+    if answer.status in NOT_RUN_STATUSES and runs:
+        return "it ran, though the status says that it did not"
+    content_length = answer.headers.get("content-length")
+    if content_length is not None and len(answer.body) > int(content_length):
+        return "more bytes than Content-Length"
     if answer.status == 200 and answer.whole:
         return callers.wrong(request, answer)
     if answer.headers.get("x-try-id", answer.id) != answer.id:
-        return "another request's answer"
+        return "another request's response"
     if answer.headers.get("x-postmark", answer.id).rpartition(".")[2] != answer.id:
         return "another request's stamp"
-    if answer.status == 200 and not _begins_well(request, answer):
-        return "not the beginning of its answer"
+    if answer.status == 200 and not _is_own_prefix(request, answer):
+        return "not a prefix of its own response"
     return ""
 
 
-def _begins_well(request, answer):
-    """Whether what came before a cut is the request's own, event by event."""
+def _is_own_prefix(request, answer):
+    """Whether a truncated response is a prefix of the request's own, event by event."""
     if request.kind in ("safe", "unsafe"):
         own = f"{answer.id} POST {request.path} {request.body.hex()}".encode()
         return own.startswith(answer.body)
@@ -171,31 +173,31 @@
     )
 
 
-class Answers(RuleBasedStateMachine):
-    """Rules give engines faults and send requests, alone and many at once."""
+class FaultyEngines(RuleBasedStateMachine):
+    """Rules give engines faults and send requests, one or many at once."""
 
     def __init__(self):
         super().__init__()
-        self.node, self.number, self.seen = Node(), 0, []
+        self.node, self.number, self.responses = Node(), 0, []
         self.pool = ThreadPoolExecutor(8)
 
     def teardown(self):
         try:
             assert self.node.settle(), vars(self.node.process._node.router)
-            self.judge()
+            self.check_responses()
         finally:
             self.pool.shutdown()
             self.node.close()
 
-    def judge(self):
+    def check_responses(self):
         runs = self.node.runs()
-        for request, answer in self.seen:
+        for request, answer in self.responses:
             count = runs.get(answer.id, 0)
-            said = wrong_answer(request, answer, count)
-            assert not said, (said, request, answer, count)
-            most = TRIES if request.kind in ("safe", "resumable") else 1
-            assert count <= most, (count, request, answer)
-        sent = {answer.id: request.path for request, answer in self.seen}
+            violation = find_violation(request, answer, count)
+            assert not violation, (violation, request, answer, count)
+            max_runs = TRIES if request.kind in ("safe", "resumable") else 1
+            assert count <= max_runs, (count, request, answer)
+        sent = {answer.id: request.path for request, answer in self.responses}
         for name, door in self.node.doors.items():
             for _, run in list(door.engine.ran):
                 assert run.engine == name, ("meant for another engine", name, run)
@@ -203,74 +205,74 @@
 
     def send(self, kind):
         self.number += 1
-        return made(kind, self.number)
+        return make_request(kind, self.number)
 
     @rule(
         name=st.sampled_from(["e0", "e1", "e2"]),
         faults=st.lists(st.sampled_from(Fault), max_size=3),
     )
-    def misbehave(self, name, faults):
+    def add_faults(self, name, faults):
         self.node.doors[name].faults.extend(faults)
 
     @rule(kind=st.sampled_from(sorted(ROUTES)), faults=st.lists(st.sampled_from(Fault), max_size=3))
-    def ask(self, kind, faults):
-        """All engines will misbehave alike, as long as it takes."""
+    def send_with_faults(self, kind, faults):
+        """Send one request while all engines have the same faults."""
         for door in self.node.doors.values():
             door.faults.extend(faults)
         request = self.send(kind)
-        self.seen.append((request, callers.send(self.node.address, request, WAIT_S)))
+        self.responses.append((request, callers.send(self.node.address, request, WAIT_S)))
 
     @rule(kinds=st.lists(st.sampled_from(sorted(ROUTES)), min_size=2, max_size=8))
-    def ask_many(self, kinds):
+    def send_many(self, kinds):
         requests = [self.send(kind) for kind in kinds]
         answers = self.pool.map(lambda r: callers.send(self.node.address, r, WAIT_S), requests)
-        self.seen += list(zip(requests, answers))
+        self.responses += list(zip(requests, answers))
 
     @rule(
         kind=st.sampled_from(sorted(ROUTES)),
         reads=st.integers(0, 200),
-        ends=st.sampled_from(["close", "reset", "half"]),
+        ending=st.sampled_from(["close", "reset", "half"]),
     )
-    def leave(self, kind, reads, ends):
-        """A caller that goes away early, or ends its side and listens on."""
+    def disconnect(self, kind, reads, ending):
+        """A caller that disconnects early, or only shuts down its sending side."""
         request = self.send(kind)
-        answer = leaving(self.node.address, request, reads, ends)
-        self.seen.append((request, answer))
+        answer = disconnecting_caller(self.node.address, request, reads, ending)
+        self.responses.append((request, answer))
 
     @rule(name=st.sampled_from(["e0", "e1", "e2"]))
     def take_over(self, name):
-        """Another engine is at the address from now on, or the first one again."""
+        """A different engine takes over the address, or the first one returns."""
         engine = self.node.doors[name].engine
         engine.id = name if engine.id != name else f"{name}-other"
 
     @invariant()
-    def all_is_well(self):
-        self.judge()
+    def responses_are_intact(self):
+        self.check_responses()
 
 
-def leaving(address, request, reads, ends):
-    """What a caller got that ended its side after `reads` bytes of the answer."""
+def disconnecting_caller(address, request, reads, ending):
+    """The response as seen by a caller that ends its side after `reads` bytes."""
     answer = callers.Answer(f"left{request.path.partition('?')[0].rpartition('/')[2]}")
     host, _, port = address.rpartition(":")
-    got = b""
+    received = b""
     try:
         with socket.create_connection((host, int(port)), timeout=WAIT_S) as sock:
             sock.sendall(callers.sent(answer.id, request))
-            while len(got) < reads and (part := sock.recv(reads - len(got))):
-                got += part
-            if ends == "reset":
+            while len(received) < reads and (chunk := sock.recv(reads - len(received))):
+                received += chunk
+            if ending == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            elif ends == "half":
+            elif ending == "half":
                 sock.shutdown(socket.SHUT_WR)
-                while part := sock.recv(65536):
-                    got += part
+                while chunk := sock.recv(65536):
+                    received += chunk
     except OSError:
         pass
-    return callers.read(answer, got)
+    return callers.read(answer, received)
 
 
-TestAnswers = Answers.TestCase
-TestAnswers.settings = settings(
+TestFaultyEngines = FaultyEngines.TestCase
+TestFaultyEngines.settings = settings(
     max_examples=25,
     stateful_step_count=16,
     derandomize=True,
--- a/tests/test_restart_cost.py
+++ b/tests/test_restart_cost.py
@@ -1,4 +1,4 @@
-"""A depot started again after hundreds of changes reads and does little."""
+"""Cost of a depot's restart after hundreds of changes: bounded reading, records and disk."""
 
 import random
 import tempfile
@@ -21,10 +21,10 @@
         super().setUp()
         self.read = 0
 
-        def counted(real):
+        def counting(reader_function):
             def read(item):
                 self.read += 1
-                return real(item)
+                return reader_function(item)
 
             return read
 
@@ -35,23 +35,25 @@
             READER.tenants,
             READER.upsert,
             READER.remove,
-            counted(READER.route),
-            counted(READER.service),
-            counted(READER.tenant),
+            counting(READER.route),
+            counting(READER.service),
+            counting(READER.tenant),
         )
         self.depot = SingleDepot(tempfile.mkdtemp(), reader)
         self.depot.until(self.depot.serving)
-        self.whole = made.configuration(random.Random(1), 1, routes=ROUTES)
-        self.send(0, self.whole, False)
+        self.configuration_document = made.configuration(random.Random(1), 1, routes=ROUTES)
+        self.send(0, self.configuration_document, False)
 
-    def send(self, expect, told, partial=True):
-        body = {"expect": expect, "written": told, "partial": partial}
+    def send(self, expect, document, partial=True):
+        body = {"expect": expect, "written": document, "partial": partial}
         answer = self.depot.change({**body, "change": f"c{expect}"})
         self.assertThat(answer.status, Equals(200))
 
     def edit(self, edition, routes=1):
         numbers = random.Random(edition).sample(range(ROUTES), routes)
-        edited = [{**self.whole["routes"][n], "targetMs": edition} for n in numbers]
+        edited = [
+            {**self.configuration_document["routes"][n], "targetMs": edition} for n in numbers
+        ]
         self.send(edition - 1, {"edition": edition, "upsert": {"routes": edited}})
 
     def test_hundreds_of_changes(self):
@@ -66,7 +68,7 @@
         self.assertThat(restart.folder_bytes, LessThan(24 << 20))
 
     def test_large_changes_make_checkpoints(self):
-        """By their bytes, long before there are thousands of records."""
+        """Checkpoints are due by bytes too, long before there are thousands of records."""
         for edition in range(2, 60):
             self.edit(edition, routes=ROUTES)
         restart = self.depot.restart()
@@ -74,7 +76,7 @@
         self.assertThat(restart.records, LessThan(20))
 
     def test_many_restarts_do_not_let_the_log_grow(self):
-        """What was logged before a start counts towards the next snapshot."""
+        """Records from before a restart count towards the next snapshot."""
         edition = 1
         for _ in range(12):
             for _ in range(8):
@@ -85,8 +87,8 @@
         self.assertThat(restart.folder_bytes, LessThan(24 << 20))
 
 
-class Offered(TestCase):
-    """A holder's checkpoints and sections, whatever goes on meanwhile."""
+class HolderLog(TestCase):
+    """The sections and checkpoints that a lease holder sends to the leader."""
 
     def setUp(self):
         super().setUp()
@@ -97,7 +99,7 @@
         effects = shard_log.flush(self.log, 0.0, self.card, "a")
         return [effect.message.section for effect in effects]
 
-    def test_sections_are_bounded_and_no_more_are_under_way_than_a_connection_holds(self):
+    def test_sections_and_bytes_in_flight_are_bounded(self):
         for _ in range(40):
             shard_log.append(self.log, bytes(400_000))
         sections = self.flush()
@@ -111,31 +113,36 @@
         self.assertThat([s.first for s in sections][:3], Equals([1, 3, 5]))
         self.assertThat(sum(len(s.records) for s in sections), Equals(40))
 
-    def test_a_checkpoint_is_made_although_there_is_always_something_under_way(self):
+    def test_a_checkpoint_is_made_while_records_are_always_in_flight(self):
         shard_log.append(self.log, b"0")
         for position in range(1, 51):
             shard_log.append(self.log, b"%d" % position)
             shard_log.on_durable(self.log, m.ShardPlace(1, 1, position), 0.0)
             if shard_log.checkpoint_due(self.log, 20):
                 shard_log.prepare_checkpoint(self.log, b"state after %d" % (position + 1))
-            offered = shard_log.offer_checkpoint(self.log, 0.0, self.card, "a", 0, 3000.0)
-            if offered:
+            sent = shard_log.offer_checkpoint(self.log, 0.0, self.card, "a", 0, 3000.0)
+            if sent:
                 break
-        section = offered[0].message.section
+        section = sent[0].message.section
         self.assertThat((section.first, section.records), Equals((20, (b"state after 20",))))
 
-    def test_a_checkpoint_is_offered_until_it_counts(self):
+    def test_a_checkpoint_is_sent_until_it_is_confirmed(self):
         for _ in range(20):
             shard_log.append(self.log, b"r")
         shard_log.on_durable(self.log, m.ShardPlace(1, 1, 20), 0.0)
         shard_log.prepare_checkpoint(self.log, b"state")
 
-        def offers(now_ms, confirmed_at):
+        def checkpoints_sent(now_ms, confirmed_at):
             return len(
                 shard_log.offer_checkpoint(self.log, now_ms, self.card, "a", confirmed_at, 3000.0)
             )
 
-        found = [offers(0.0, 0), offers(100.0, 0), offers(3000.0, 0), offers(3100.0, 20)]
-        self.assertThat(found, Equals([1, 0, 1, 0]))
+        counts = [
+            checkpoints_sent(0.0, 0),
+            checkpoints_sent(100.0, 0),
+            checkpoints_sent(3000.0, 0),
+            checkpoints_sent(3100.0, 20),
+        ]
+        self.assertThat(counts, Equals([1, 0, 1, 0]))
         self.assertThat((self.log.checkpoint_at, self.log.prepared), Equals((20, None)))
-        self.assertThat(offers(9000.0, 20), Equals(0))
+        self.assertThat(checkpoints_sent(9000.0, 20), Equals(0))
