--- a/libs/pulleyhitch/src/pulleyhitch/admission.py
+++ b/libs/pulleyhitch/src/pulleyhitch/admission.py
@@ -38,7 +38,7 @@
 
 BODY_LIMIT_BYTES = 8 << 20
 _TASK_START = b"POST /v1/"
-# Part of the threads that each class has to itself.
+# Part of the threads in the share of each class.
 _SHARES = {"operator": 0.0625, "lookup": 0.25, "rank0": 0.375, "rank1": 0.1875, "rank2": 0.125}
 # Thread shares that each class may use, in order of preference; never a higher class's share.
 USABLE_SHARES = {
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -37,6 +37,7 @@
 _SERVICE_BACK_SHARE = 0.75
 # Part of the deadline during which a change may wait for the edition that it builds on.
 _EDITION_WAIT_SHARE = 0.5
+# A lower `current_ms` means that the feed has confirmed nothing yet.
 _NO_CONTACT_MS = -1e11
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -195,4 +195,4 @@
     """A request handler without an access log."""
 
     def log(self, type, message, *args):
-        """Nothing."""
+        """Log nothing."""
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -50,13 +50,13 @@
     returns None if they are unchanged.  SIGHUP polls at once, SIGUSR1 dumps the log ring."""
     try:
         process = Process(config, dialect)
-    except CannotStart as failed:
-        report_failure(failed.failure)
+    except CannotStart as error:
+        report_failure(error.failure)
         return 3
     try:
         servers = _make_servers(process)
-    except OSError as failed:
-        report_failure(failures.AddressTaken(str(failed.args[-1] if failed.args else config.http)))
+    except OSError as error:
+        report_failure(failures.AddressTaken(str(error.args[-1] if error.args else config.http)))
         return 3
     stop_requested, reload_requested = threading.Event(), threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/libs/pulleyhitch/src/pulleyhitch/listener.py
+++ b/libs/pulleyhitch/src/pulleyhitch/listener.py
@@ -57,7 +57,7 @@
         self._pool = ThreadPoolExecutor(
             sum(self._thread_shares.values()), thread_name_prefix="http"
         )
-        self._finish_pool = ThreadPoolExecutor(threads, thread_name_prefix="leg")
+        self._finish_pool = ThreadPoolExecutor(threads, thread_name_prefix="finish")
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self._connection_limit = max(16, min(_CONNECTIONS_PER_THREAD * threads, limit // 2))
         self._connections, self._buffered_bytes = {}, 0
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -65,9 +65,9 @@
 
 def _ended(node, now_ms, token, body):
     age_ms = follows.age(node.follower, now_ms)
-    nodes = routing_peers(node, now_ms)
-    effects = router.ended(node.router, now_ms, node.cluster, age_ms, nodes, token, body["proof"])
-    return effects + router.wake(node.router, now_ms, node.cluster, age_ms, nodes)
+    peers = routing_peers(node, now_ms)
+    effects = router.ended(node.router, now_ms, node.cluster, age_ms, peers, token, body["proof"])
+    return effects + router.wake(node.router, now_ms, node.cluster, age_ms, peers)
 
 
 def _silent(node, now_ms, token, body):
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -25,6 +25,7 @@
 _LINE_FULL_RETRY_MS = 3000
 # Interval between notes of refusals in the log ring.
 _REPORT_INTERVAL_MS = 5000.0
+# Range of the random number with which the token requests of a node start.
 _FIRST_NUMBER_RANGE = 1 << 48
 
 
@@ -42,14 +43,14 @@
 
 def make(config, random, group):
     """State of a new node; `group` is a depot's opened replication group."""
-    terms = configs.quota_settings(config)
+    settings = configs.quota_settings(config)
     number = random.randrange(_FIRST_NUMBER_RANGE)
     standing = None
     if group is not None:
         restarted = bool(group.group)
-        standing = standings.Standing(group.identity, terms.trust_ms, config.depots, restarted)
-    spender = spending.Spending(config.name, terms, number)
-    return Quotas(spender, granting.Granting(terms), standing)
+        standing = standings.Standing(group.identity, settings.trust_ms, config.depots, restarted)
+    spender = spending.Spending(config.name, settings, number)
+    return Quotas(spender, granting.Granting(settings), standing)
 
 
 def begin(node, now_ms, age_ms, peers, task):
@@ -59,7 +60,7 @@
     effects = router.begin(node.router, now_ms, node.cluster, age_ms, peers, task)
     if limit is None or task.token not in node.router.tasks:
         return effects
-    _learn_depots(node)
+    _update_depots(node)
     outcome = spending.take(node.quotas.spending, now_ms, limit, task.token)
     if isinstance(outcome, spending.Pending):
         if not waiting_line.is_open(node.router, task):
@@ -81,7 +82,7 @@
     return Limit(name, node.cluster.registry.stamp, float(facts["ratePerS"]), burst)
 
 
-def _learn_depots(node):
+def _update_depots(node):
     addresses = [member.address for member in node.peers.group.members]
     depot_choice.update(node.quotas.spending.depots, addresses)
 
@@ -123,13 +124,13 @@
     """Handle a node's request for tokens; it may be this node's own."""
     if node.depot is None:
         return [Send(sender, QuotaGrant(message.number, False, ()))]
-    _observe(node, now_ms)
+    _observe_membership(node, now_ms)
     share = standings.share(node.quotas.standing, now_ms, follows.age(node.follower, now_ms))
     share = None if node.closing else share
     return [Send(sender, granting.on_ask(node.quotas.granting, now_ms, message, share))]
 
 
-def _observe(node, now_ms):
+def _observe_membership(node, now_ms):
     """Observe the committed membership, as this node's feed has it."""
     founders = {member.identity for member in node.depot.group.founders}
     standings.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
@@ -145,8 +146,8 @@
     """Skip silent depots, refuse requests whose tokens came from no depot in time, and note
     refusals."""
     if node.depot is not None:
-        _observe(node, now_ms)
-    _learn_depots(node)
+        _observe_membership(node, now_ms)
+    _update_depots(node)
     return (
         _refuse_expired(node, now_ms)
         + _process_decisions(node, now_ms, peers_of)
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -73,8 +73,8 @@
                 0.4 * self._config.bounds.serviceBackMs / 1000,
                 policy=admission.PRODUCT_POLICY,
             )
-        except OSError as failed:
-            raise OSError(self._config.http) from failed
+        except OSError as error:
+            raise OSError(self._config.http) from error
 
     def run(self):
         self._listener.run()
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -173,7 +173,7 @@
 
 
 def on_refused(ownership, message):
-    """The leader refused records of a shard that this node no longer holds."""
+    """The leader refused records of a shard."""
     owner = ownership.owners.get(message.shard)
     if owner is not None:
         shard_log.on_refused(owner.held, message)
@@ -211,7 +211,7 @@
             registries.apply(owner.registry, record)
             shard_log.append(owner.held, record)
         elif failure is not None:
-            effects.append(Note("list-wrong", failures.as_json(failure)))
+            effects.append(Note("engine-list-invalid", failures.as_json(failure)))
     return effects
 
 
@@ -229,8 +229,8 @@
         return placer.command(owner, now_ms, token, verb, body, cluster.registry, settings)
     try:
         record, answer, failure = registries.decide(owner.registry, verb, body)
-    except Exception as failed:
-        return _report_defect(token, verb, failed)
+    except Exception as error:
+        return _report_defect(token, verb, error)
     answer = failure if failure is not None else answer
     continuation = ("reply", token, answer)
     if record is not None:
@@ -240,10 +240,10 @@
     return [Reply(token, answer)] if shard_log.barrier(owner.held, continuation) else []
 
 
-def _report_defect(token, verb, failed):
+def _report_defect(token, verb, error):
     """Report an exception raised by a command.  Nothing has changed.  The node goes on:
     stopping would only hand the same command to the next holder, and crash that one too."""
-    failure = failures.CoreBroke(verb, repr(failed))
+    failure = failures.CoreBroke(verb, repr(error))
     return [Reply(token, failure), Note("not-judged", failures.as_json(failure)), Dump(failure.tag)]
 
 
