--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -36,7 +36,7 @@
 # Parts of `serviceBackMs`: how long a depot grants tokens after the last confirmation by a
 # majority, and after which time without a response it counts as silent.
 _TRUST_RATIO, _SILENT_RATIO = 2 / 3, 0.008
-_NAME = validate.Regexp(r"^[a-z0-9][a-z0-9._-]{0,62}$", error="not a name")
+_NAME = validate.Regexp(r"^[a-z0-9][a-z0-9._-]{0,62}$", error="not a valid name")
 
 
 @dataclass(frozen=True)
--- a/tests/test_response_integrity.py
+++ b/tests/test_response_integrity.py
@@ -76,15 +76,17 @@
             "retryAllowance": 1e6,
         }
         self.address, self.past = addresses[2], []
-        self.doors = {f"e{n}": self._door(f"e{n}", addresses[3 + n]) for n in range(3)}
+        self.engine_servers = {
+            f"e{n}": self._engine_server(f"e{n}", addresses[3 + n]) for n in range(3)
+        }
         self.process = Process(config.check(raw_config), DIALECT)
         node = self.process._node
         section = passages.section(routes(), {"s": {"kind": "plain", **WARM}})
         node.cluster.registry = Registry(
             sections={"floor": section},
             engines={
-                name: engine_facts(name, "s", url=f"http://{door.engine.address}")
-                for name, door in self.doors.items()
+                name: engine_facts(name, "s", url=f"http://{server.engine.address}")
+                for name, server in self.engine_servers.items()
             },
         )
         node.follower.current_ms = float("inf")
@@ -93,7 +95,7 @@
         self.gateway = Gateway(self.process)
         threading.Thread(target=self.gateway.run, daemon=True).start()
 
-    def _door(self, name, address):
+    def _engine_server(self, name, address):
         engine = core.Engine(name, "s", "z", address, SIZES, core.Store(1.0, 1), now_ms(), True)
         return EngineDoor(engine)
 
@@ -102,27 +104,27 @@
         self.process._stopped.set()
         self.process.notify("", "leave", {})
         self.process._connections.close()
-        for door in self.doors.values():
-            door.close()
+        for server in self.engine_servers.values():
+            server.close()
 
     def runs(self):
         """Number of runs on the engines, by request id."""
         found = {}
-        for door in self.doors.values():
-            for _, request in list(door.engine.ran):
+        for server in self.engine_servers.values():
+            for _, request in list(server.engine.ran):
                 found[request.id] = found.get(request.id, 0) + 1
         return found
 
     def is_idle(self):
         """Whether no table holds anything of a request."""
-        router, door = self.process._node.router, self.gateway._listener
+        router, listener = self.process._node.router, self.gateway._listener
         return (
             not router.tasks
             and not any(router.busy.values())
             and not self.process._futures
-            and not door._connections
-            and not door._buffered_bytes
-            and door._free_threads == door._thread_shares
+            and not listener._connections
+            and not listener._buffered_bytes
+            and listener._free_threads == listener._thread_shares
         )
 
     def settle(self):
@@ -198,8 +200,8 @@
             max_runs = TRIES if request.kind in ("safe", "resumable") else 1
             assert count <= max_runs, (count, request, answer)
         sent = {answer.id: request.path for request, answer in self.responses}
-        for name, door in self.node.doors.items():
-            for _, run in list(door.engine.ran):
+        for name, server in self.node.engine_servers.items():
+            for _, run in list(server.engine.ran):
                 assert run.engine == name, ("meant for another engine", name, run)
                 assert (run.method, run.path) == ("POST", sent.get(run.id)), ("not sent so", run)
 
@@ -212,13 +214,13 @@
         faults=st.lists(st.sampled_from(Fault), max_size=3),
     )
     def add_faults(self, name, faults):
-        self.node.doors[name].faults.extend(faults)
+        self.node.engine_servers[name].faults.extend(faults)
 
     @rule(kind=st.sampled_from(sorted(ROUTES)), faults=st.lists(st.sampled_from(Fault), max_size=3))
     def send_with_faults(self, kind, faults):
         """Send one request while all engines have the same faults."""
-        for door in self.node.doors.values():
-            door.faults.extend(faults)
+        for server in self.node.engine_servers.values():
+            server.faults.extend(faults)
         request = self.send(kind)
         self.responses.append((request, callers.send(self.node.address, request, WAIT_S)))
 
@@ -242,7 +244,7 @@
     @rule(name=st.sampled_from(["e0", "e1", "e2"]))
     def take_over(self, name):
         """A different engine takes over the address, or the first one returns."""
-        engine = self.node.doors[name].engine
+        engine = self.node.engine_servers[name].engine
         engine.id = name if engine.id != name else f"{name}-other"
 
     @invariant()
