--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -11,7 +11,7 @@
 from routing import answers
 from routing.relaying import Relaying
 from transport import failures
-from transport.ends import hung_up
+from transport.socket_state import closed_by_peer
 from werkzeug.serving import WSGIRequestHandler, make_server
 from werkzeug.wrappers import Request, Response
 
@@ -75,7 +75,7 @@
         whose caller has disconnected is dropped: after a pause of this process many callers
         have already retried under another id."""
         handler = RequestHandler(caller, caller.address, self._server_context)
-        if not handler.parsed or hung_up(caller.sock):
+        if not handler.parsed or closed_by_peer(caller.sock):
             return None
         request = Request(handler.wsgi_environ)
         facts = self._dialect.read_caller(request, handler.target)
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -39,9 +39,9 @@
     messages.BootstrapReply,
     messages.LeaveRequest,
     messages.LeaveReply,
-    messages.Append,
-    messages.RecoverAsk,
-    messages.Release,
+    messages.ShardAppend,
+    messages.RecoveryRequest,
+    messages.LeaseRelease,
     messages.FeedChunkReply,
     messages.ShardChunkReply,
 )
@@ -57,7 +57,7 @@
     operators' requests.  `depot` is the log replica, None on a counter.  `leaving` means that
     it is draining and reports itself not ready, `closing` that it takes no new work."""
 
-    card: messages.Card
+    card: messages.NodeInfo
     config: configs.Config
     peers: peer_table.PeerTable
     follower: follows.Follow
@@ -81,7 +81,7 @@
     of a platform, None for the product's own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
-    card = messages.Card(
+    card = messages.NodeInfo(
         config.name,
         config.role,
         config.zone,
@@ -128,19 +128,19 @@
     """Apply one event and return the effects to carry out."""
     if isinstance(event, events.Received):
         effects = _handle_message(node, now_ms, event.sender, event.message)
-    elif isinstance(event, events.Asked):
+    elif isinstance(event, events.LocalRequest):
         effects = operator_requests.handle_request(node, now_ms, event)
-    elif isinstance(event, events.Called):
+    elif isinstance(event, events.CallEnded):
         effects = shard_ownership.on_call_result(
             node.ownership, now_ms, event, node.cluster, node.placement_settings
         )
-    elif isinstance(event, events.Closing):
+    elif isinstance(event, events.Shutdown):
         effects = _begin_shutdown(node, now_ms)
     elif isinstance(event, events.Tick):
         effects = _tick(node, now_ms)
     else:
         effects = []
-    if node.depot is not None and not isinstance(event, (events.Asked, events.Called)):
+    if node.depot is not None and not isinstance(event, (events.LocalRequest, events.CallEnded)):
         effects += _handle_depot(node, now_ms, event)
     if node.closing:
         effects = _delay_finished(node, now_ms, effects)
@@ -150,14 +150,14 @@
 
 def _handle_depot(node, now_ms, event):
     if isinstance(event, events.Received) and not isinstance(
-        event.message, _DEPOT_MESSAGES + (messages.Ask,)
+        event.message, _DEPOT_MESSAGES + (messages.FeedRequest,)
     ):
         return []
     was_serving = node.depot.writer.serving
     effects = depots.handle(node.depot, now_ms, event, node.peers.cards, node.peers.group.group)
     group = node.depot.group
     if node.card.empty and group.group:
-        node.card = messages.Card(**{**vars(node.card), "empty": False})
+        node.card = messages.NodeInfo(**{**vars(node.card), "empty": False})
         node.peers.card = node.depot.card = node.card
     peer_table.learn_group(node.peers, depots.group_card(group), node.card.address)
     if node.depot.writer.serving and not was_serving:
@@ -246,18 +246,18 @@
 
 
 def _handle_message(node, now_ms, sender, message):
-    if isinstance(message, messages.Greet):
+    if isinstance(message, messages.Gossip):
         previous_group = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
         if node.peers.group != previous_group:
             node.membership_learned_ms = now_ms
         return effects
-    if isinstance(message, messages.Mark):
+    if isinstance(message, messages.FreshnessMark):
         follows.on_mark(node.follower, message)
         return follows.relay(node.follower, now_ms) + operator_requests.answer_confirmed_reads(
             node, now_ms
         )
-    if isinstance(message, messages.FeedItems):
+    if isinstance(message, messages.FeedEntries):
         effects = _apply_feed_update(node, now_ms, follows.on_items(node.follower, message))
         effects += follows.relay(node.follower, now_ms)
         return effects + operator_requests.answer_confirmed_reads(node, now_ms)
@@ -269,11 +269,11 @@
         return effects + operator_requests.answer_confirmed_reads(node, now_ms)
     if isinstance(message, messages.FeedChunkReply):
         return follows.on_chunk_reply(node.follower, now_ms, sender, message)
-    if isinstance(message, messages.Ask):
+    if isinstance(message, messages.FeedRequest):
         if node.depot is None:
             return follows.on_relay_ask(node.follower, now_ms, sender, message)
         return []
-    if isinstance(message, messages.Durable):
+    if isinstance(message, messages.DurablePositions):
         return shard_ownership.on_durable(
             node.ownership,
             now_ms,
@@ -283,21 +283,21 @@
             node.times,
             node.placement_settings,
         )
-    if isinstance(message, messages.Refused):
+    if isinstance(message, messages.AppendRefused):
         return shard_ownership.on_refused(node.ownership, message)
     if isinstance(message, messages.ShardChunk):
         return shard_ownership.on_chunk(
             node.ownership, now_ms, sender, message, node.placement_settings
         )
-    if isinstance(message, messages.QuotaAsk):
+    if isinstance(message, messages.QuotaRequest):
         return quota_requests.on_request(node, now_ms, sender, message)
-    if isinstance(message, messages.QuotaGrant):
+    if isinstance(message, messages.QuotaReply):
         return quota_requests.on_grant(
             node, now_ms, sender, message, operator_requests.routing_peers
         )
-    if isinstance(message, messages.Command):
+    if isinstance(message, messages.ShardCommand):
         return operator_requests.on_command(node, now_ms, message)
-    if isinstance(message, messages.CommandAnswer):
+    if isinstance(message, messages.ShardCommandReply):
         return command_forwarding.on_answer(node, now_ms, message)
     return []
 
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -19,9 +19,20 @@
 from routing.pool import Pool
 from transport import events, failures
 from transport.connections import Connections
-from transport.effects import Call, Dump, Finished, Install, Note, Reply, Save, Send, Wake, Write
-from transport.log_ring import Ring
-from transport.messages import Greet
+from transport.effects import (
+    DumpLog,
+    EngineCall,
+    Finished,
+    Install,
+    LogLine,
+    Reply,
+    Save,
+    Send,
+    Wake,
+    Write,
+)
+from transport.log_ring import LogRing
+from transport.messages import Gossip
 
 from pulleyhitch import config as configs
 from pulleyhitch import node as nodes
@@ -54,7 +65,7 @@
         self.config = config
         self.dialect = dialect
         self.pool = Pool()
-        self.ring = Ring(config.name)
+        self.ring = LogRing(config.name)
         self._queue = queue.SimpleQueue()
         self._futures = {}
         self._lock = threading.Lock()
@@ -69,7 +80,7 @@
         try:
             self._connections = Connections(
                 config.listen,
-                lambda: Greet(self._node.card, False, (), self._node.peers.group),
+                lambda: Gossip(self._node.card, False, (), self._node.peers.group),
                 lambda sender, message: self._queue.put(events.Received(sender, message)),
                 self._log_event,
                 configs.times(config).elect_ms,
@@ -115,7 +126,7 @@
 
         Requests whose response is ready by then still get it.
         """
-        self._queue.put(events.Closing())
+        self._queue.put(events.Shutdown())
         if self._node.depot is not None:
             wait_s = configs.times(self.config).leave_ms / 1000 + _FINAL_MESSAGES_S
         else:
@@ -134,13 +145,13 @@
         future = Future()
         with self._lock:
             self._futures[token] = future
-        self._queue.put(events.Asked(token, verb, body))
+        self._queue.put(events.LocalRequest(token, verb, body))
         return future
 
     def notify(self, token, verb, body):
         """Pass a request on without a future of its own.  A reply to it goes to the future
         that is registered under the token, if any."""
-        self._queue.put(events.Asked(token, verb, body))
+        self._queue.put(events.LocalRequest(token, verb, body))
 
     def request(self, token, verb, body, wait_s=600.0):
         """Pass a request to the core and wait for its outcome; MajorityLost on a timeout."""
@@ -217,15 +228,15 @@
                 future = self._futures.pop(effect.token, None)
             if future is not None:
                 future.set_result(effect.outcome)
-        elif isinstance(effect, Call):
+        elif isinstance(effect, EngineCall):
             self._calls.submit(self._call, effect)
         elif isinstance(effect, Wake):
             self._wake_ms = min(self._wake_ms, effect.at_ms)
-        elif isinstance(effect, Note):
+        elif isinstance(effect, LogLine):
             self.ring.note(effect.what, effect.facts, urgent=effect.urgent)
         elif isinstance(effect, Finished):
             self._finished.set()
-        elif isinstance(effect, Dump):
+        elif isinstance(effect, DumpLog):
             self.ring.note("dump", {}, why=effect.why)
 
     def _write(self, effect):
@@ -259,7 +270,9 @@
             body = self.dialect.read_call(effect.verb, request_body, exchange.code, exchange.data)
         connection_reused = exchange.head is not None and exchange.head.kept
         self._queue.put(
-            events.Called(effect.id, exchange.code, body or {}, exchange.begun, connection_reused)
+            events.CallEnded(
+                effect.id, exchange.code, body or {}, exchange.begun, connection_reused
+            )
         )
 
 
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -14,8 +14,8 @@
 from replication import follower as follows
 from routing import router, waiting_line
 from transport import failures
-from transport.effects import Note, Send
-from transport.messages import QuotaGrant
+from transport.effects import LogLine, Send
+from transport.messages import QuotaReply
 
 from pulleyhitch import config as configs
 
@@ -123,7 +123,7 @@
 def on_request(node, now_ms, sender, message):
     """Handle a node's request for tokens; it may be this node's own."""
     if node.depot is None:
-        return [Send(sender, QuotaGrant(message.number, False, ()))]
+        return [Send(sender, QuotaReply(message.number, False, ()))]
     _observe_membership(node, now_ms)
     share = standings.share(node.quotas.standing, now_ms, follows.age(node.follower, now_ms))
     share = None if node.closing else share
@@ -171,7 +171,7 @@
     quotas = node.quotas
     if not quotas.unreported_refusals or now_ms - quotas.reported_ms < _REPORT_INTERVAL_MS:
         return []
-    note = Note("quota-refusals", {"tenants": quotas.unreported_refusals})
+    note = LogLine("quota-refusals", {"tenants": quotas.unreported_refusals})
     quotas.unreported_refusals, quotas.reported_ms = {}, now_ms
     return [note]
 
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -15,8 +15,8 @@
 from placement.state import Placer
 from replication import shard_log, state_machine
 from transport import failures
-from transport.effects import Dump, Note, Reply, Send
-from transport.messages import Release
+from transport.effects import DumpLog, LogLine, Reply, Send
+from transport.messages import LeaseRelease
 
 __all__ = [
     "ShardOwnership",
@@ -82,10 +82,10 @@
                 if shard == 0
                 else Placer(shard, assignment.epoch, held, own=assignment.before == card.name)
             )
-            effects.append(Note("holds", {"shard": shard, "epoch": assignment.epoch}, True))
+            effects.append(LogLine("holds", {"shard": shard, "epoch": assignment.epoch}, True))
         elif owner and not is_ours and assignment.epoch > owner.epoch:
             del ownership.owners[shard]
-            effects.append(Note("held", {"shard": shard, "epoch": owner.epoch}, True))
+            effects.append(LogLine("held", {"shard": shard, "epoch": owner.epoch}, True))
     return effects
 
 
@@ -147,7 +147,7 @@
         placer.taken_over(owner, now_ms, settings)
     owner.held.checkpoint, owner.held.records = b"", []
     facts = {"shard": message.shard, "epoch": message.epoch, "next": owner.held.next}
-    return effects + [Note("recovered", facts, True)]
+    return effects + [LogLine("recovered", facts, True)]
 
 
 def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
@@ -211,7 +211,7 @@
             registries.apply(owner.registry, record)
             shard_log.append(owner.held, record)
         elif failure is not None:
-            effects.append(Note("engine-list-invalid", failures.as_json(failure)))
+            effects.append(LogLine("engine-list-invalid", failures.as_json(failure)))
     return effects
 
 
@@ -244,7 +244,11 @@
     """Report an exception raised by a command.  Nothing has changed.  The node goes on:
     stopping would only hand the same command to the next holder, and crash that one too."""
     failure = failures.CoreBroke(verb, repr(error))
-    return [Reply(token, failure), Note("not-judged", failures.as_json(failure)), Dump(failure.tag)]
+    return [
+        Reply(token, failure),
+        LogLine("not-judged", failures.as_json(failure)),
+        DumpLog(failure.tag),
+    ]
 
 
 def release_all(ownership, card, leader, successors):
@@ -255,7 +259,7 @@
         owner.held.released = True
         successor = successors[shard % len(successors)] if successors else ""
         if leader:
-            effects.append(Send(leader, Release(card.name, shard, owner.epoch, successor)))
+            effects.append(Send(leader, LeaseRelease(card.name, shard, owner.epoch, successor)))
     return effects
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -51,7 +51,7 @@
         order, done, clock = [], threading.Event(), [0.0]
 
         def on_event(event):
-            if isinstance(event, events.Closing):
+            if isinstance(event, events.Shutdown):
                 clock[0] += 10000.0
             order.append(type(event).__name__)
             if len(order) > 11:
@@ -59,10 +59,10 @@
 
         process_under_test = self.process(on_event)
         self.patch(process, "_now", lambda: clock[0])
-        process_under_test._queue.put(events.Closing())
+        process_under_test._queue.put(events.Shutdown())
         for _ in range(10):
             process_under_test._queue.put(events.Received("a", None))
         process_under_test.start()
         self.assertTrue(done.wait(60))
-        first = order[order.index("Closing") + 1 :]
+        first = order[order.index("Shutdown") + 1 :]
         self.assertThat(first[:11], Equals(["Received"] * 10 + ["Tick"]))
