--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -1,9 +1,8 @@
-"""The doors that a platform's callers and operators knock at, in its own dialect.
+"""HTTP servers for a platform's callers and operators, in the platform's own formats.
 
-`Gateway` lets callers' requests through to engines; `OperatorGateway` takes operators'
-calls.
-Both stand behind the same door as the product's own interface, which goes on
-beside them.  `Status` answers whether callers may be sent here.
+`Gateway` proxies callers' requests to engines; `OperatorGateway` serves operators' requests.
+Both use the same listener as the product's own interface (`server`), which runs beside them.
+`StatusEndpoint` is the readiness probe.
 """
 
 import secrets
@@ -17,15 +16,16 @@
 from werkzeug.wrappers import Request, Response
 
 from pulleyhitch import admission
-from pulleyhitch.command_forwarding import Answered
-from pulleyhitch.http_handler import Front, Handler
-from pulleyhitch.listener import Door
+from pulleyhitch.command_forwarding import CommandResult
+from pulleyhitch.http_handler import RequestHandler, ServerContext
+from pulleyhitch.listener import Listener
 
-__all__ = ["Gateway", "OperatorGateway", "Status"]
+__all__ = ["Gateway", "OperatorGateway", "StatusEndpoint"]
 
-_STEP = "pulleyhitch.step"
-# How long a thread waits for an answer before it lets the caller wait alone.
-_FIRST_LOOK_S = 0.005
+# WSGI environment key of the outcome that the application turns into a response.
+_OUTCOME_KEY = "pulleyhitch.step"
+# How long a thread waits for an outcome before it returns the connection to the listener.
+_FIRST_WAIT_S = 0.005
 
 
 def _split(address):
@@ -33,8 +33,8 @@
     return host, int(port)
 
 
-def _front(process, address, app):
-    return Front(
+def _make_server_context(process, address, app):
+    return ServerContext(
         _split(address),
         app,
         lambda *what: process.ring.log("http", {"what": str(what)[:2000]}, dump_reason="http"),
@@ -42,152 +42,157 @@
 
 
 class Gateway:
-    """Callers' requests; `run` serves until `stop`."""
+    """Proxies callers' requests; `run` serves until `stop` is called."""
 
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
-        self._relaying = RequestRelay(process.ask, process.pool, process.dialect, 500)
-        self._front = _front(process, config.doors["callers"], self._app)
-        back_s = config.bounds.serviceBackMs / 1000
-        self._door = Door(
+        self._relaying = RequestRelay(process.request, process.pool, process.dialect, 500)
+        self._server_context = _make_server_context(process, config.doors["callers"], self._app)
+        service_back_s = config.bounds.serviceBackMs / 1000
+        self._listener = Listener(
             *_split(config.doors["callers"]),
             config.httpThreads,
             self._begin,
             lambda data: "rank0",
-            0.4 * back_s,
-            1.5 * back_s,
+            0.4 * service_back_s,
+            1.5 * service_back_s,
         )
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def stop(self):
-        self._door.stop()
+        """Accept no more connections."""
+        self._listener.stop()
 
     def empty(self):
-        return self._door.empty()
+        """Whether the gateway has stopped and no request is pending."""
+        return self._listener.empty()
 
     def _begin(self, caller):
-        """First look at a request: answer it, or find that its task must wait.  Nothing is
-        sent to an engine for a caller that has left by now, as many have when this node
-        wakes from a freeze: it may have sent its request again under another id."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole or closed_by_peer(caller.sock):
+        """Start a request: answer it, or return the callbacks with which it waits.  A request
+        whose caller has disconnected is dropped: after a pause of this process many callers
+        have already retried under another id."""
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed or closed_by_peer(caller.sock):
             return None
-        request = Request(handler.told)
-        told = self._dialect.read_caller_request(request, handler.target)
-        if isinstance(told, failures.Failure):
-            handler.told[_STEP] = ("", {}, told)
+        request = Request(handler.wsgi_environ)
+        facts = self._dialect.read_caller_request(request, handler.target)
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ[_OUTCOME_KEY] = ("", {}, facts)
             handler.run_wsgi()
             return None
         token = secrets.token_hex(8)
-        future = self._process.post(token, "passage", told)
+        future = self._process.submit(token, "passage", facts)
         try:
-            future.exception(_FIRST_LOOK_S)
+            future.exception(_FIRST_WAIT_S)
         except TimeoutError:
             pass
 
-        def finish(step):
-            handler.told[_STEP] = (token, told, step)
+        def finish(outcome):
+            handler.wsgi_environ[_OUTCOME_KEY] = (token, facts, outcome)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "ended", {"proof": "gone"})
+        def on_disconnect():
+            self._process.notify(token, "ended", {"proof": "gone"})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        token, told, step = environ[_STEP]
-        if isinstance(step, failures.Failure):
-            status, headers, body = self._dialect.refusal(step)
+        token, facts, outcome = environ[_OUTCOME_KEY]
+        if isinstance(outcome, failures.Failure):
+            status, headers, body = self._dialect.refusal(outcome)
             response = Response(body, status, headers)
         else:
-            response = self._relaying.serve(token, told, step, environ)
+            response = self._relaying.serve(token, facts, outcome, environ)
         return responses.start(response, environ, start_response)
 
 
 class OperatorGateway:
-    """Operators' changes and reads; `run` serves until the process stops."""
+    """Serves operators' changes and reads; `run` serves until the process stops."""
 
     def __init__(self, process):
         config = process.config
         self._process, self._dialect = process, process.dialect
-        self._front = _front(process, config.doors["operators"], self._app)
-        back_s = config.bounds.serviceBackMs / 1000
-        self._door = Door(
+        self._server_context = _make_server_context(process, config.doors["operators"], self._app)
+        service_back_s = config.bounds.serviceBackMs / 1000
+        self._listener = Listener(
             *_split(config.doors["operators"]),
             config.httpThreads,
             self._begin,
             lambda data: "operator",
-            0.4 * back_s,
+            0.4 * service_back_s,
         )
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def _begin(self, caller):
-        """First look at a call: answer it, or find that it must wait.  Nothing is done for
-        an operator who has left by now and has perhaps asked another node since."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole:
+        """Start a request: answer it, or return the callbacks with which it waits.  A request
+        whose operator has disconnected is dropped: it may have gone to another node since."""
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed:
             return None
-        told = self._dialect.read_operator_request(Request(handler.told))
-        if isinstance(told, failures.Failure):
-            handler.told[_STEP] = ("", told)
+        facts = self._dialect.read_operator_request(Request(handler.wsgi_environ))
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ[_OUTCOME_KEY] = ("", facts)
             handler.run_wsgi()
             return None
         if admission.peek(caller.sock) == b"":
             return None
-        verb, body = told
+        verb, body = facts
         token = secrets.token_hex(8)
-        future = self._process.post(token, verb, body)
+        future = self._process.submit(token, verb, body)
         try:
-            future.exception(_FIRST_LOOK_S)
+            future.exception(_FIRST_WAIT_S)
         except TimeoutError:
             pass
 
         def finish(outcome):
-            handler.told[_STEP] = (verb, outcome)
+            handler.wsgi_environ[_OUTCOME_KEY] = (verb, outcome)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "abandoned", {})
+        def on_disconnect():
+            self._process.notify(token, "abandoned", {})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
     def _app(self, environ, start_response):
-        verb, outcome = environ[_STEP]
+        verb, outcome = environ[_OUTCOME_KEY]
         status, headers, body = self._dialect.operator_response(verb, outcome)
         return Response(body, status, headers)(environ, start_response)
 
 
-class Status:
-    """Answers 200 while callers may come; `run` serves until the process stops."""
+class StatusEndpoint:
+    """Readiness probe: 200 while the node takes requests; `run` serves until the process
+    stops."""
 
     def __init__(self, process):
         self._process = process
         host, port = _split(process.config.doors["status"])
-        self._http = make_server(host, port, self._app, threaded=False, request_handler=_Quiet)
+        self._http = make_server(
+            host, port, self._app, threaded=False, request_handler=_SilentRequestHandler
+        )
 
     def run(self):
         threading.current_thread().name = "status"
         self._http.serve_forever(poll_interval=1.0)
 
     def _app(self, environ, start_response):
-        found = self._process.ask(secrets.token_hex(8), "ready", {}, 0.5)
-        code = found.status if isinstance(found, Answered) else 503
+        result = self._process.request(secrets.token_hex(8), "ready", {}, 0.5)
+        code = result.status if isinstance(result, CommandResult) else 503
         return Response(b"", code)(environ, start_response)
 
 
-class _Quiet(WSGIRequestHandler):
-    """Says nothing of each request."""
+class _SilentRequestHandler(WSGIRequestHandler):
+    """A request handler without an access log."""
 
     def log(self, type, message, *args):
-        """Nothing."""
+        """Log nothing."""
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -1,4 +1,4 @@
-"""What a node believes, as operators may read it."""
+"""Read-only views of a node's state, for operators."""
 
 from configuration import registry as registries
 from membership import peer_table
@@ -10,45 +10,45 @@
 
 from pulleyhitch import quota_requests
 
-__all__ = ["all_of", "read", "fleet"]
+__all__ = ["node_state", "read", "fleet"]
 
 
 def read(node, now_ms, body):
-    """One confirmed read; `what` names the part."""
-    what, name = body.get("what", "layout"), body.get("name", "")
-    reg = node.floor.registry
-    head = {"stamp": reg.stamp, "place": node.follow.position}
-    if what == "layout":
+    """Result of a confirmed read; `what` in the body names the part, `name` filters it."""
+    part, name = body.get("what", "layout"), body.get("name", "")
+    registry = node.cluster.registry
+    head = {"stamp": registry.stamp, "place": node.follower.position}
+    if part == "layout":
         return {
             **head,
             "partners": {
-                p: {"stamp": reg.stamps.get(p, 0), "section": _without_keys(s)}
-                for p, s in sorted(reg.sections.items())
+                p: {"stamp": registry.stamps.get(p, 0), "section": _without_keys(s)}
+                for p, s in sorted(registry.sections.items())
                 if name in ("", p)
             },
         }
-    if what == "zones":
+    if part == "zones":
         return {
             **head,
-            "evacuated": dict(sorted(reg.zones.items())),
-            "known": sorted(registries.zone_names(reg)),
+            "evacuated": dict(sorted(registry.zones.items())),
+            "known": sorted(registries.zone_names(registry)),
         }
-    if what == "engines":
+    if part == "engines":
         return {**head, "engines": _engines(node, name)}
-    if what == "written":
-        return {**head, "document": reg.document}
-    if what == "tenants":
-        return {**head, "tenants": quota_requests.described(node)}
-    if what == "why":
+    if part == "written":
+        return {**head, "document": registry.document}
+    if part == "tenants":
+        return {**head, "tenants": quota_requests.describe(node)}
+    if part == "why":
         return {**head, "unmet": _unmet(node, name)}
     return {
         **head,
-        "holds": {str(s): ledger.holds for s, ledger in sorted(node.floor.ledgers.items())},
+        "holds": {str(s): ledger.holds for s, ledger in sorted(node.cluster.ledgers.items())},
     }
 
 
 def _without_keys(section):
-    """A section with fingerprints in place of its tenants' API keys."""
+    """The section, with the tenants' API keys replaced by fingerprints."""
     if "tenants" not in section:
         return section
     shown = {
@@ -59,59 +59,59 @@
 
 
 def _engines(node, name):
-    found = []
-    for engine in node.floor.registry.engines.values():
+    shown_engines = []
+    for engine in node.cluster.registry.engines.values():
         if name not in ("", engine["name"], engine["service"]):
             continue
         shard = registry_view.shard_of(engine["service"], node.config.shards)
-        ledger = node.floor.ledgers.get(shard, ledgers.Ledger())
-        found.append(
+        ledger = node.cluster.ledgers.get(shard, ledgers.Ledger())
+        shown_engines.append(
             {
                 **engine,
                 "shard": shard,
                 "incarnation": ledger.incarnations.get(engine["name"], ""),
-                "usable": registry_view.usable(node.floor.registry, engine),
+                "usable": registry_view.usable(node.cluster.registry, engine),
                 "items": {
                     i: {"verb": e["verb"], "state": e["state"]}
                     for i, e in sorted(ledger.engines.get(engine["name"], {}).items())
                 },
             }
         )
-    return sorted(found, key=lambda e: e["name"])
+    return sorted(shown_engines, key=lambda e: e["name"])
 
 
 def _unmet(node, name):
-    found = {}
-    for ledger in node.floor.ledgers.values():
+    unmet_wishes = {}
+    for ledger in node.cluster.ledgers.values():
         for service, unmet in ledger.unmet.items():
             for wish, why in unmet.items():
                 if name in ("", wish, wish.partition(":")[2], service):
-                    found[wish] = {"service": service, **why}
-    return dict(sorted(found.items()))
+                    unmet_wishes[wish] = {"service": service, **why}
+    return dict(sorted(unmet_wishes.items()))
 
 
-def all_of(node, now_ms):
-    """Everything this node believes right now, confirmed or not; for compare."""
-    told = {
+def node_state(node, now_ms):
+    """This node's current state, confirmed or not; for `compare` and diagnosis."""
+    state = {
         "node": node.card.name,
         "role": node.card.role,
         "zone": node.card.zone,
-        "place": node.follow.position,
-        "term": node.follow.term,
-        "ageMs": round(min(follows.age(node.follow, now_ms), 1e9)),
+        "place": node.follower.position,
+        "term": node.follower.term,
+        "ageMs": round(min(follows.age(node.follower, now_ms), 1e9)),
         "leader": node.peers.group.leader,
         "group": node.peers.group.group,
         "members": [vars(x) for x in node.peers.group.members],
-        "stamp": node.floor.registry.stamp,
-        "stamps": dict(sorted(node.floor.registry.stamps.items())),
-        "zones": dict(sorted(node.floor.registry.zones.items())),
+        "stamp": node.cluster.registry.stamp,
+        "stamps": dict(sorted(node.cluster.registry.stamps.items())),
+        "zones": dict(sorted(node.cluster.registry.zones.items())),
         "fellows": {n: c.address for n, c in sorted(node.peers.cards.items())},
         "https": {n: c.http for n, c in sorted(node.peers.cards.items())},
         "watches": peer_table.watched(node.peers),
         "live": sorted(peer_table.live(node.peers, now_ms)),
         "holders": {
             str(s): {"holder": p.holder, "epoch": p.epoch}
-            for s, p in sorted(node.follow.state.shards.items())
+            for s, p in sorted(node.follower.state.shards.items())
         },
         "holds": {
             str(s): {
@@ -121,7 +121,7 @@
                 "next": k.held.next,
                 "durable": k.held.durable,
             }
-            for s, k in sorted(node.owners.owners.items())
+            for s, k in sorted(node.ownership.owners.items())
         },
         "engines": {e["name"]: e["items"] for e in _engines(node, "")},
         "router": {
@@ -135,12 +135,12 @@
         },
     }
     if node.depot is not None:
-        told["depot"] = depots.describe(node.depot)
-    return told
+        state["depot"] = depots.describe(node.depot)
+    return state
 
 
 def fleet(node, now_ms):
-    """The log node's view of everyone who pings it."""
+    """All nodes that follow the feed, as the log's leader sees them."""
     depot = node.depot
     return {
         "term": depot.group.term,
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -1,8 +1,9 @@
-"""A node's core: every event goes in here, every effect comes out.
+"""A node's core: a state machine that takes events and returns effects.
 
-A counter routes and, holding grants, places; a depot keeps the log.  Both
-follow the feed, know their fellows and answer operators.  The same function
-runs in real processes and in the simulator.
+It joins the libraries.  There are two roles: a counter routes requests and, as long as it holds
+leases of shards, places models; a depot keeps a replica of the log.  Both follow the feed (the
+stream of committed log records), exchange heartbeats with peers and serve operators.  The same
+`handle` runs in real processes and in the simulator.
 """
 
 import random
@@ -13,65 +14,74 @@
 from replication import depot as depots
 from replication import follower as follows
 from routing import engine_tracking, refusal_log, router
-from transport import events as e
-from transport import messages as m
+from transport import events, messages
 from transport.effects import Finished, Send
 
 from pulleyhitch import command_forwarding, operator_requests, quota_requests, shard_ownership
 from pulleyhitch import config as configs
 
-__all__ = ["Node", "make", "handle", "leader_of"]
-
-_LOST = 0.25
-# How long a node that stops waits for answers that are under way.
-_ANSWERS_MS = 1000.0
-_DEPOT_TALK = (
-    m.AppendEntries,
-    m.AppendReply,
-    m.ReplicaChunk,
-    m.ReplicaChunkReply,
-    m.VoteRequest,
-    m.VoteReply,
-    m.TransferLeadership,
-    m.BootstrapRequest,
-    m.BootstrapReply,
-    m.LeaveRequest,
-    m.LeaveReply,
-    m.ShardAppend,
-    m.RecoveryRequest,
-    m.LeaseRelease,
-    m.FeedChunkReply,
-    m.ShardChunkReply,
+__all__ = ["Node", "make", "handle", "leader_address"]
+
+# Part of `serviceBackMs` after which a silent peer counts as lost.
+_PEER_LOST_RATIO = 0.25
+# How long a stopping node waits for pending responses.
+_PENDING_ANSWERS_MS = 1000.0
+# Messages that the log replica handles; all others go to the node itself.
+_DEPOT_MESSAGES = (
+    messages.AppendEntries,
+    messages.AppendReply,
+    messages.ReplicaChunk,
+    messages.ReplicaChunkReply,
+    messages.VoteRequest,
+    messages.VoteReply,
+    messages.TransferLeadership,
+    messages.BootstrapRequest,
+    messages.BootstrapReply,
+    messages.LeaveRequest,
+    messages.LeaveReply,
+    messages.ShardAppend,
+    messages.RecoveryRequest,
+    messages.LeaseRelease,
+    messages.FeedChunkReply,
+    messages.ShardChunkReply,
 )
 
 
 @dataclass
 class Node:
-    card: m.NodeInfo
+    """State of a node.
+
+    `card` is its identity as sent to peers, `peers` its view of the membership, `follower` its
+    position in the feed, `cluster` the registry and ledgers built from the feed, `ownership`
+    the shards it holds, `router` and `quotas` the state of requests, and `operator` that of
+    operators' requests.  `depot` is the log replica, None on a counter.  `leaving` means that
+    it is draining and reports itself not ready, `closing` that it takes no new work."""
+
+    card: messages.NodeInfo
     config: configs.Config
     peers: peer_table.PeerTable
-    follow: follows.FeedFollower
-    floor: cluster_state.ClusterState
-    owners: shard_ownership.ShardOwnership
+    follower: follows.FeedFollower
+    cluster: cluster_state.ClusterState
+    ownership: shard_ownership.ShardOwnership
     router: router.Router
     operator: operator_requests.OperatorRequests
     quotas: quota_requests.Quotas
     depot: object = None
     times: object = None
-    terms: object = None
+    placement_settings: object = None
     closing: bool = False
     closing_ms: float = 0.0
     leaving: bool = False
-    ask_turn: int = 0
-    learned_ms: float = -1e12
+    feed_query_count: int = 0
+    membership_learned_ms: float = -1e12
 
 
 def make(config, incarnation, seed, group=None, dialect=None):
-    """A fresh node; `group` is a depot's opened replication group, `dialect` the
-    platform's shapes, if it has its own."""
+    """A new node.  `group` is a depot's opened replication group; `dialect` adapts the formats
+    of a platform, None for the product's own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
-    card = m.NodeInfo(
+    card = messages.NodeInfo(
         config.name,
         config.role,
         config.zone,
@@ -87,192 +97,229 @@
         card,
         config,
         peer_table.PeerTable(
-            card, config.seeds, rng, times.ping_ms * 1.5, _LOST * config.bounds.serviceBackMs
+            card,
+            config.seeds,
+            rng,
+            times.ping_ms * 1.5,
+            _PEER_LOST_RATIO * config.bounds.serviceBackMs,
         ),
         follows.FeedFollower(),
         cluster_state.ClusterState(config.shards, config.zones, reader),
         shard_ownership.ShardOwnership(config.shards, config.zones, reader, config.provider),
-        router.Router(configs.routing(config)),
+        router.Router(configs.routing_settings(config)),
         operator_requests.OperatorRequests(),
         quota_requests.make(config, random.Random(seed + 1), group),
         times=times,
-        terms=configs.terms(config),
+        placement_settings=configs.placement_settings(config),
     )
-    node.floor.registry.zonesKnown = config.zones
-    node.floor.registry.reader = reader
+    node.cluster.registry.zonesKnown = config.zones
+    node.cluster.registry.reader = reader
     if group is not None:
         node.depot = depots.Depot(group, config.shards, card)
     return node
 
 
-def leader_of(node):
+def leader_address(node):
+    """Address of the log's leader as far as known, or an empty string."""
     return node.peers.group.leader
 
 
 def handle(node, now_ms, event):
-    if isinstance(event, e.Received):
-        effects = _receive(node, now_ms, event.sender, event.message)
-    elif isinstance(event, e.LocalRequest):
-        effects = operator_requests.asked(node, now_ms, event)
-    elif isinstance(event, e.CallEnded):
-        effects = shard_ownership.on_called(node.owners, now_ms, event, node.floor, node.terms)
-    elif isinstance(event, e.Shutdown):
-        effects = _close(node, now_ms)
-    elif isinstance(event, e.Tick):
+    """Apply one event and return the effects to carry out."""
+    if isinstance(event, events.Received):
+        effects = _handle_message(node, now_ms, event.sender, event.message)
+    elif isinstance(event, events.LocalRequest):
+        effects = operator_requests.handle_request(node, now_ms, event)
+    elif isinstance(event, events.CallEnded):
+        effects = shard_ownership.on_call_result(
+            node.ownership, now_ms, event, node.cluster, node.placement_settings
+        )
+    elif isinstance(event, events.Shutdown):
+        effects = _begin_shutdown(node, now_ms)
+    elif isinstance(event, events.Tick):
         effects = _tick(node, now_ms)
     else:
         effects = []
-    if node.depot is not None and not isinstance(event, (e.LocalRequest, e.CallEnded)):
-        effects += _depot(node, now_ms, event)
+    if node.depot is not None and not isinstance(event, (events.LocalRequest, events.CallEnded)):
+        effects += _handle_depot(node, now_ms, event)
     if node.closing:
-        effects = _before_the_end(node, now_ms, effects)
-    effects += shard_ownership.flush(node.owners, now_ms, node.card, leader_of(node))
+        effects = _delay_finished(node, now_ms, effects)
+    effects += shard_ownership.flush(node.ownership, now_ms, node.card, leader_address(node))
     return command_forwarding.translate(node, now_ms, effects)
 
 
-def _depot(node, now_ms, event):
-    if isinstance(event, e.Received) and not isinstance(
-        event.message, _DEPOT_TALK + (m.FeedRequest,)
+def _handle_depot(node, now_ms, event):
+    if isinstance(event, events.Received) and not isinstance(
+        event.message, _DEPOT_MESSAGES + (messages.FeedRequest,)
     ):
         return []
-    served = node.depot.writer.serving
+    was_serving = node.depot.writer.serving
     effects = depots.handle(node.depot, now_ms, event, node.peers.cards, node.peers.group.group)
     group = node.depot.group
     if node.card.empty and group.group:
-        node.card = m.NodeInfo(**{**vars(node.card), "empty": False})
+        node.card = messages.NodeInfo(**{**vars(node.card), "empty": False})
         node.peers.card = node.depot.card = node.card
     peer_table.learn_group(node.peers, depots.group_card(group), node.card.address)
-    if node.depot.writer.serving and not served:
+    if node.depot.writer.serving and not was_serving:
         effects += peer_table.announce(node.peers, now_ms)
     return effects
 
 
 def _tick(node, now_ms):
     effects = peer_table.tick(node.peers, now_ms)
-    effects += _ask(node, now_ms)
+    effects += _query_feed(node, now_ms)
     if not node.closing:
         effects += shard_ownership.tick(
-            node.owners,
+            node.ownership,
             now_ms,
             node.card,
-            node.follow,
-            node.floor,
+            node.follower,
+            node.cluster,
             node.times,
-            node.terms,
-            leader_of(node),
+            node.placement_settings,
+            leader_address(node),
             lambda name, life: peer_table.lost(node.peers, now_ms, name, life),
         )
-    effects += router.tick(node.router, now_ms, node.floor)
-    effects += quota_requests.tick(node, now_ms, operator_requests.crew)
-    effects += _wake(node, now_ms)
+    effects += router.tick(node.router, now_ms, node.cluster)
+    effects += quota_requests.tick(node, now_ms, operator_requests.routing_peers)
+    effects += _retry_waiting(node, now_ms)
     effects += refusal_log.take_notes(node.router)
     return effects + operator_requests.tick(node, now_ms)
 
 
-def _ask(node, now_ms):
-    """Ping the log node; when it is silent, ask around, and ask fellows too."""
-    if now_ms - node.follow.requested_ms < node.times.ping_ms:
+def _query_feed(node, now_ms):
+    """Request feed records from the leader.  If it is silent or unknown, look for it by
+    greeting the depots in turn, and request records from other counters too."""
+    if now_ms - node.follower.requested_ms < node.times.ping_ms:
         return []
-    to = leader_of(node)
-    silent = now_ms - max(node.follow.direct_ms, node.learned_ms) > 2 * node.times.ping_ms
+    query_address = leader_address(node)
+    silent = (
+        now_ms - max(node.follower.direct_ms, node.membership_learned_ms) > 2 * node.times.ping_ms
+    )
     effects = []
-    node.ask_turn += 1
-    if silent or not to:
-        around = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
-        if around:
-            target = around[node.ask_turn % len(around)]
-            effects.append(Send(target, greetings.greeting(node.peers, True, now_ms, target)))
-            to = to if node.ask_turn % 2 and to else target
+    node.feed_query_count += 1
+    if silent or not query_address:
+        known_depots = peer_table.depot_addresses(node.peers) or list(node.peers.seeds)
+        if known_depots:
+            depot_address = known_depots[node.feed_query_count % len(known_depots)]
+            effects.append(
+                Send(depot_address, greetings.greeting(node.peers, True, now_ms, depot_address))
+            )
+            query_address = (
+                query_address if node.feed_query_count % 2 and query_address else depot_address
+            )
         for name in peer_table.watched(node.peers)[:2]:
             card = node.peers.cards[name]
             if card.role == "counter":
                 effects.append(
                     follows.make_request(
-                        node.follow, now_ms, operator_requests.asker(node), card.address
+                        node.follower, now_ms, operator_requests.requester_card(node), card.address
                     )
                 )
-    if to:
-        effects.append(follows.make_request(node.follow, now_ms, operator_requests.asker(node), to))
+    if query_address:
+        effects.append(
+            follows.make_request(
+                node.follower, now_ms, operator_requests.requester_card(node), query_address
+            )
+        )
     return effects
 
 
-def _wake(node, now_ms):
-    """Those in line try again; whom there is to share with matters only to them."""
-    engine_tracking.update(node.router, now_ms, node.floor)
+def _retry_waiting(node, now_ms):
+    """Let waiting requests try again for a place on an engine."""
+    engine_tracking.update(node.router, now_ms, node.cluster)
     if not any(task.waiting for task in node.router.tasks.values()):
         return []
     return router.retry_waiting(
         node.router,
         now_ms,
-        node.floor,
-        follows.age(node.follow, now_ms),
-        operator_requests.crew(node, now_ms),
+        node.cluster,
+        follows.age(node.follower, now_ms),
+        operator_requests.routing_peers(node, now_ms),
     )
 
 
-def _news(node, now_ms, news):
-    if not cluster_state.apply_update(node.floor, node.follow.state, news):
+def _apply_feed_update(node, now_ms, feed_update):
+    if not cluster_state.apply_update(node.cluster, node.follower.state, feed_update):
         return []
-    return _wake(node, now_ms)
+    return _retry_waiting(node, now_ms)
 
 
-def _receive(node, now_ms, sender, message):
-    if isinstance(message, m.Gossip):
-        before = node.peers.group
+def _handle_message(node, now_ms, sender, message):
+    if isinstance(message, messages.Gossip):
+        previous_group = node.peers.group
         effects = peer_table.on_greet(node.peers, now_ms, sender, message)
-        if node.peers.group != before:
-            node.learned_ms = now_ms
+        if node.peers.group != previous_group:
+            node.membership_learned_ms = now_ms
         return effects
-    if isinstance(message, m.FreshnessMark):
-        follows.on_mark(node.follow, message)
-        return follows.answer_relays(node.follow, now_ms) + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedEntries):
-        effects = _news(node, now_ms, follows.on_items(node.follow, message))
-        effects += follows.answer_relays(node.follow, now_ms)
-        return effects + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedChunk):
-        effects, news = follows.on_chunk(node.follow, now_ms, node.card.name, sender, message)
-        effects += _news(node, now_ms, news)
-        return effects + operator_requests.current(node, now_ms)
-    if isinstance(message, m.FeedChunkReply):
-        return follows.on_chunk_reply(node.follow, now_ms, sender, message)
-    if isinstance(message, m.FeedRequest):
+    if isinstance(message, messages.FreshnessMark):
+        follows.on_mark(node.follower, message)
+        return follows.answer_relays(
+            node.follower, now_ms
+        ) + operator_requests.answer_confirmed_reads(node, now_ms)
+    if isinstance(message, messages.FeedEntries):
+        effects = _apply_feed_update(node, now_ms, follows.on_items(node.follower, message))
+        effects += follows.answer_relays(node.follower, now_ms)
+        return effects + operator_requests.answer_confirmed_reads(node, now_ms)
+    if isinstance(message, messages.FeedChunk):
+        effects, feed_update = follows.on_chunk(
+            node.follower, now_ms, node.card.name, sender, message
+        )
+        effects += _apply_feed_update(node, now_ms, feed_update)
+        return effects + operator_requests.answer_confirmed_reads(node, now_ms)
+    if isinstance(message, messages.FeedChunkReply):
+        return follows.on_chunk_reply(node.follower, now_ms, sender, message)
+    if isinstance(message, messages.FeedRequest):
         if node.depot is None:
-            return follows.on_relay_request(node.follow, now_ms, sender, message)
+            return follows.on_relay_request(node.follower, now_ms, sender, message)
         return []
-    if isinstance(message, m.DurablePositions):
+    if isinstance(message, messages.DurablePositions):
         return shard_ownership.on_durable(
-            node.owners, now_ms, message, node.follow, node.floor, node.times, node.terms
+            node.ownership,
+            now_ms,
+            message,
+            node.follower,
+            node.cluster,
+            node.times,
+            node.placement_settings,
+        )
+    if isinstance(message, messages.AppendRefused):
+        return shard_ownership.on_refused(node.ownership, message)
+    if isinstance(message, messages.ShardChunk):
+        return shard_ownership.on_chunk(
+            node.ownership, now_ms, sender, message, node.placement_settings
         )
-    if isinstance(message, m.AppendRefused):
-        return shard_ownership.on_refused(node.owners, message)
-    if isinstance(message, m.ShardChunk):
-        return shard_ownership.on_chunk(node.owners, now_ms, sender, message, node.terms)
-    if isinstance(message, m.QuotaRequest):
-        return quota_requests.on_ask(node, now_ms, sender, message)
-    if isinstance(message, m.QuotaReply):
-        return quota_requests.on_grant(node, now_ms, sender, message, operator_requests.crew)
-    if isinstance(message, m.ShardCommand):
+    if isinstance(message, messages.QuotaRequest):
+        return quota_requests.on_request(node, now_ms, sender, message)
+    if isinstance(message, messages.QuotaReply):
+        return quota_requests.on_grant(
+            node, now_ms, sender, message, operator_requests.routing_peers
+        )
+    if isinstance(message, messages.ShardCommand):
         return operator_requests.on_command(node, now_ms, message)
-    if isinstance(message, m.ShardCommandReply):
+    if isinstance(message, messages.ShardCommandReply):
         return command_forwarding.on_answer(node, now_ms, message)
     return []
 
 
-def _before_the_end(node, now_ms, effects):
-    """Hold `Finished` back while somebody waits for an answer, though not for long."""
-    waited = now_ms - node.closing_ms > _ANSWERS_MS
-    if waited or not (node.operator.pending or shard_ownership.answers_waiting(node.owners)):
+def _delay_finished(node, now_ms, effects):
+    """Hold `Finished` back while responses are pending, for a bounded time."""
+    timed_out = now_ms - node.closing_ms > _PENDING_ANSWERS_MS
+    if timed_out or not (
+        node.operator.pending or shard_ownership.has_pending_answers(node.ownership)
+    ):
         return effects
     return [effect for effect in effects if not isinstance(effect, Finished)]
 
 
-def _close(node, now_ms):
-    """Orderly stop: no new work, leases back with a successor named."""
+def _begin_shutdown(node, now_ms):
+    """Begin an orderly stop: take no new work, and release leases, naming successors."""
     node.closing, node.closing_ms = True, now_ms
     names = [
         n
         for n in peer_table.live(node.peers, now_ms)
         if node.peers.cards[n].role == node.config.placers
     ]
-    return shard_ownership.release_all(node.owners, node.card, leader_of(node), sorted(names))
+    return shard_ownership.release_all(
+        node.ownership, node.card, leader_address(node), sorted(names)
+    )
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -1,8 +1,7 @@
-"""Passages: callers' own requests, routed by host and path and passed on unchanged.
+"""Passages: callers' requests through the gateway, routed by host and path and proxied unchanged.
 
-What a caller's request asks for is told by the platform's adapter; which route
-takes it, which service of its split, how long it may be held and how often it
-may be sent are the layout's.
+The platform's adapter extracts the facts of a request.  The layout determines its route, its
+service out of the route's split, how long it may be held, and how many attempts it may have.
 """
 
 import json
@@ -17,41 +16,42 @@
 
 from pulleyhitch import quota_requests
 
-__all__ = ["begin", "ready", "tell_wanted"]
+__all__ = ["begin", "ready", "report_demand"]
 
-_OPENING = 2
-# The class of routes that tell none.
-_RANK = 5
+# Parts of a prompt opening that make up a routing key.
+_OPENING_PARTS = 2
+# Rank of routes that set none.
+_DEFAULT_RANK = 5
 
 
 def ready(node, now_ms):
-    """Whether callers may come: not stopping, and the layout and engines are known."""
+    """Readiness: the node isn't stopping, and knows the layout and the engines."""
     return (
         not node.closing
         and not node.leaving
-        and bool(registries.services(node.floor.registry))
-        and bool(node.floor.registry.engines)
-        and node.follow.current_ms > -1e11
+        and bool(registries.services(node.cluster.registry))
+        and bool(node.cluster.registry.engines)
+        and node.follower.current_ms > -1e11
     )
 
 
-def begin(node, now_ms, token, told, crew):
-    """A caller's request has come in; its first step is told to its thread."""
-    if node.closing and not told.get("accepted"):
+def begin(node, now_ms, token, facts, peers):
+    """Start a caller's request; its first outcome comes as a Reply, now or later."""
+    if node.closing and not facts.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
-    if node.follow.current_ms <= -1e11 or not registries.services(node.floor.registry):
+    if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
         return [Reply(token, failures.Stale(int(2 * node.times.election_ms), 0))]
-    found = routes.match(node.floor.registry, told["host"], told["path"])
-    age_ms = follows.age(node.follow, now_ms)
+    found = routes.match(node.cluster.registry, facts["host"], facts["path"])
+    age_ms = follows.age(node.follower, now_ms)
     if found is None:
-        return [Reply(token, _if_sure(node, age_ms, failures.NotFound("route")))]
+        return [Reply(token, _unless_stale(node, age_ms, failures.NotFound("route")))]
     name, route = found
-    credential = _credential(told, route)
-    tenant = tenants.identify(node.floor.registry, credential)
+    credential = _credential(facts, route)
+    tenant = tenants.identify(node.cluster.registry, credential)
     if isinstance(tenant, failures.Failure):
-        return [Reply(token, _if_sure(node, age_ms, tenant))]
-    task = _task(token, told, route, now_ms, credential, tenant)
-    told.update(
+        return [Reply(token, _unless_stale(node, age_ms, tenant))]
+    task = _task(token, facts, route, now_ms, credential, tenant)
+    facts.update(
         route=name,
         tenant=tenant.name,
         kind=route["kind"],
@@ -60,44 +60,44 @@
         rank=task.rank,
         aimMs=task.aimMs,
     )
-    return quota_requests.begin(node, now_ms, age_ms, crew, task)
+    return quota_requests.begin(node, now_ms, age_ms, peers, task)
 
 
-def _credential(told, route):
-    """What a request shows of its sender; its key itself is kept no longer."""
-    key = told.pop("key", b"")
+def _credential(facts, route):
+    """Credential of a request; only a digest of the API key is kept."""
+    key = facts.pop("key", b"")
     return tenants.Credential(tenants.digest(key), route.get("public", False))
 
 
-def _if_sure(node, age_ms, failure):
-    """Only a node that is sure of the configuration says that there is no such route, or that
-    a key is nobody's: another may know a newer one that has it."""
+def _unless_stale(node, age_ms, failure):
+    """`failure`, or Stale if this node's configuration may be out of date: a newer one may
+    have the route or the key that is unknown here."""
     bound_ms = min(node.router.settings.staleMs, node.config.bounds.layoutMs)
     if age_ms > bound_ms:
         return failures.Stale(int(bound_ms), int(age_ms))
     return failure
 
 
-def _task(token, told, route, now_ms, credential, tenant):
+def _task(token, facts, route, now_ms, credential, tenant):
     stream = route["kind"] == "stream"
-    rank = route.get("rank", _RANK)
+    rank = route.get("rank", _DEFAULT_RANK)
     repeatable = route["kind"] == "safe" or (stream and route.get("resumable", False))
-    holdMs = min(told["deadlineMs"], route["holdMs"])
+    holdMs = min(facts["deadlineMs"], route["holdMs"])
     return router.Task(
         token,
-        f"{token}.{told['id']}"[:80],
-        routes.service_for(route, told["id"]),
-        told["model"],
-        told["adapter"],
+        f"{token}.{facts['id']}"[:80],
+        routes.service_for(route, facts["id"]),
+        facts["model"],
+        facts["adapter"],
         f"rank{rank}",
-        "|".join(told["opening"][:_OPENING]),
+        "|".join(facts["opening"][:_OPENING_PARTS]),
         repeatable,
         stream,
         now_ms + holdMs,
         rank=rank,
         aimMs=route["aimMs"],
         max_attempts=route.get("tries", 1),
-        tokens=told["tokens"],
+        tokens=facts["tokens"],
         from_platform=True,
         patience_ms=route.get("patienceMs") or float("inf"),
         credential=credential,
@@ -106,28 +106,27 @@
     )
 
 
-def tell_wanted(node, now_ms, holder_address):
-    """Tell the placers, in few bytes, what callers have been asking for, and which engines
-    answered them badly."""
-    untold = node.router.demand_counts or node.router.unreported_failures
-    if not untold or now_ms - node.operator.told_ms < 2 * node.times.ping_ms:
+def report_demand(node, now_ms, holder_address):
+    """Report to the placers which items callers requested, and the outcomes of engines."""
+    has_reports = node.router.demand_counts or node.router.unreported_failures
+    if not has_reports or now_ms - node.operator.demand_reported_ms < 2 * node.times.ping_ms:
         return []
-    node.operator.told_ms = now_ms
-    by = {}
+    node.operator.demand_reported_ms = now_ms
+    reports = {}
     for (service, item), count in node.router.demand_counts.items():
-        _for_shard(node, by, service)["items"][item] = count
+        _for_shard(node, reports, service)["items"][item] = count
     node.router.demand_counts = {}
-    engines = node.floor.registry.engines
+    engines = node.cluster.registry.engines
     for name, outcome in engine_outcomes.take_unreported(node.router, now_ms, engines).items():
-        _for_shard(node, by, engines[name]["service"])["outcomes"][name] = outcome
+        _for_shard(node, reports, engines[name]["service"])["outcomes"][name] = outcome
     return [
-        Send(to, ShardCommand("", shard, "", "wanted", json.dumps(told).encode()))
-        for shard, told in by.items()
+        Send(to, ShardCommand("", shard, "", "wanted", json.dumps(report).encode()))
+        for shard, report in reports.items()
         if (to := holder_address(node, shard))
     ]
 
 
-def _for_shard(node, by, service):
-    """What is told the holder of a service's shard."""
+def _for_shard(node, reports, service):
+    """The report for the shard of a service."""
     shard = registry_view.shard_of(service, node.config.shards)
-    return by.setdefault(shard, {"items": {}, "outcomes": {}})
+    return reports.setdefault(shard, {"items": {}, "outcomes": {}})
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -1,8 +1,9 @@
-"""A process: the owner thread that feeds the core and carries out its effects.
+"""The process around a node's core: threads, timers, sockets and the disk.
 
-Everything reaches the owner through one queue.  Sockets belong to pipe
-threads, callers to HTTP threads, engine calls and log writes to pools; they
-post events here and never touch the core's state.
+One thread, the owner, passes events to the core (`node.handle`) and applies the effects that
+it returns.  All events reach it through one queue.  Connections to peers, HTTP requests,
+calls to engines and writes of the log run on other threads, which put events into the queue
+and never touch the core's state.
 """
 
 import queue
@@ -16,8 +17,7 @@
 from replication import group as groups
 from routing import engine_api, engine_calls, proxying
 from routing.connection_pool import ConnectionPool
-from transport import events as e
-from transport import failures
+from transport import events, failures
 from transport.connections import Connections
 from transport.effects import (
     DumpLog,
@@ -40,22 +40,26 @@
 __all__ = ["Process", "CannotStart"]
 
 _TICKS_PER_PING = 6
-_FIRST_ELECT = 0.3
-# What an orderly stop leaves for messages and answers under way.
-_LAST_WORDS_S = 0.15
-_COUNTER_STOPS_S = 1.0
-# How often connections that are past their time are looked for.
-_SWEEP_MS = 5000.0
+# Part of the election timeout, before jitter, after which a started depot may campaign.
+_FIRST_ELECTION_RATIO = 0.3
+# Time in an orderly stop for the last messages and responses.
+_FINAL_MESSAGES_S = 0.15
+_COUNTER_STOP_S = 1.0
+# Interval between sweeps of idle connections to engines.
+_SWEEP_INTERVAL_MS = 5000.0
 
 
 class CannotStart(Exception):
+    """The process can't start; `failure` is the typed cause."""
+
     def __init__(self, failure):
         super().__init__(failure.tag)
         self.failure = failure
 
 
 class Process:
-    """`post` and `ask` put an event to the owner and get its word, later or now."""
+    """A running node.  `submit`, `notify` and `request` pass requests to the core by verb; the
+    outcome comes from the core's `Reply` effects."""
 
     def __init__(self, config, dialect=None):
         self.config = config
@@ -63,7 +67,7 @@
         self.pool = ConnectionPool()
         self.ring = LogRing(config.name)
         self._queue = queue.SimpleQueue()
-        self._waiting = {}
+        self._futures = {}
         self._lock = threading.Lock()
         self._wake_ms = float("inf")
         self._sweep_ms = 0.0
@@ -74,24 +78,24 @@
         self._disk, group = self._open_disk(config)
         self._node = nodes.make(config, secrets.token_hex(8), secrets.randbits(64), group, dialect)
         try:
-            self._pipes = Connections(
+            self._connections = Connections(
                 config.listen,
                 lambda: Gossip(self._node.card, False, (), self._node.peers.group),
-                lambda sender, message: self._queue.put(e.Received(sender, message)),
-                self._note,
+                lambda sender, message: self._queue.put(events.Received(sender, message)),
+                self._log_event,
                 configs.times(config).election_ms,
             )
-        except OSError as failed:
-            raise CannotStart(failures.AddressTaken(config.listen)) from failed
-        self._owner = threading.Thread(target=self._own, name="owner", daemon=True)
+        except OSError as error:
+            raise CannotStart(failures.AddressTaken(config.listen)) from error
+        self._owner = threading.Thread(target=self._run_owner, name="owner", daemon=True)
 
     def _open_disk(self, config):
         if config.role != "depot":
             return None, None
         try:
             disk = disks.Disk(config.folder, 8 << 20)
-        except disks.DiskError as failed:
-            raise CannotStart(failed.failure) from failed
+        except disks.DiskError as error:
+            raise CannotStart(error.failure) from error
         identity = disk.loaded.files.get("identity")
         if identity is None:
             identity = secrets.token_hex(8).encode()
@@ -104,67 +108,72 @@
             random.Random(secrets.randbits(64)),
         )
         groups.open_replica(group, disk.loaded.files, disk.loaded.entries)
-        group.election_due_ms = _now() + _FIRST_ELECT * group.settings.election_ms * (
+        group.election_due_ms = _now() + _FIRST_ELECTION_RATIO * group.settings.election_ms * (
             1 + random.random()
         )
         return disk, group
 
-    def _note(self, what, facts):
-        self.ring.log(what, facts)
+    def _log_event(self, event_name, facts):
+        self.ring.log(event_name, facts)
 
     def start(self):
+        """Start the owner thread."""
         self._owner.start()
         return self
 
     def close(self):
-        """Orderly: give leases, lead and membership away, then stop.
+        """Stop in order: release leases, leadership and membership, then end the owner.
 
-        Whoever waits for an answer that is there by then gets it.
+        Requests whose response is ready by then still get it.
         """
-        self._queue.put(e.Shutdown())
+        self._queue.put(events.Shutdown())
         if self._node.depot is not None:
-            wait_s = configs.times(self.config).leave_ms / 1000 + _LAST_WORDS_S
+            wait_s = configs.times(self.config).leave_ms / 1000 + _FINAL_MESSAGES_S
         else:
-            wait_s = _COUNTER_STOPS_S
+            wait_s = _COUNTER_STOP_S
         if self._finished.wait(wait_s):
-            self._stopped.wait(_LAST_WORDS_S)
+            self._stopped.wait(_FINAL_MESSAGES_S)
         self._stopped.set()
-        self._queue.put(e.Tick())
+        self._queue.put(events.Tick())
 
     def stopped(self):
+        """Whether the owner has stopped, by `close` or after a failure."""
         return self._stopped.is_set()
 
-    def post(self, token, verb, body):
-        """Put an event to the owner; the future gets its word."""
+    def submit(self, token, verb, body):
+        """Pass a request to the core; returns the future of its outcome."""
         future = Future()
         with self._lock:
-            self._waiting[token] = future
-        self._queue.put(e.LocalRequest(token, verb, body))
+            self._futures[token] = future
+        self._queue.put(events.LocalRequest(token, verb, body))
         return future
 
-    def tell(self, token, verb, body):
-        """An event whose answer goes to whoever waits on the token already."""
-        self._queue.put(e.LocalRequest(token, verb, body))
+    def notify(self, token, verb, body):
+        """Pass a request on without a future of its own.  A reply to it goes to the future
+        that is registered under the token, if any."""
+        self._queue.put(events.LocalRequest(token, verb, body))
 
-    def ask(self, token, verb, body, wait_s=600.0):
-        future = self.post(token, verb, body)
+    def request(self, token, verb, body, wait_s=600.0):
+        """Pass a request to the core and wait for its outcome; MajorityLost on a timeout."""
+        future = self.submit(token, verb, body)
         try:
             return future.result(timeout=wait_s)
         except TimeoutError:
-            return self._given_up(token, future)
+            return self._abandon(token, future)
 
-    def _given_up(self, token, future):
-        """Nobody waits any more: a late word has nowhere to go.  One that came at the very
-        end still counts."""
+    def _abandon(self, token, future):
+        """Drop the future after a timeout, so that a late outcome is discarded.  An outcome
+        that arrived just before is still returned."""
         with self._lock:
-            if self._waiting.get(token) is future:
-                del self._waiting[token]
+            if self._futures.get(token) is future:
+                del self._futures[token]
                 return failures.MajorityLost(1000)
         return future.result()
 
-    def _own(self):
-        """Events as they come, and a tick whenever one is due, however many wait.
-        After a time in which we did not run, what came meanwhile goes first."""
+    def _run_owner(self):
+        """Handle events as they arrive, and a tick whenever one is due, however long the queue
+        is.  After a pause of the process, the events queued meanwhile go before the tick, so
+        that timeouts don't fire although the messages are there."""
         tick_ms = configs.times(self.config).ping_ms / _TICKS_PER_PING
         next_ms = _now()
         while not self._stopped.is_set():
@@ -172,51 +181,51 @@
             due_ms = min(next_ms, self._wake_ms)
             if now_ms < due_ms:
                 try:
-                    self._feed(self._queue.get(timeout=(due_ms - now_ms) / 1000))
+                    self._handle_event(self._queue.get(timeout=(due_ms - now_ms) / 1000))
                 except queue.Empty:
                     pass
                 continue
             if now_ms - due_ms > 4 * tick_ms:
                 for _ in range(self._queue.qsize()):
-                    self._feed(self._queue.get())
+                    self._handle_event(self._queue.get())
             if now_ms >= next_ms:
                 next_ms = _now() + tick_ms
                 self._sweep(now_ms)
             self._wake_ms = float("inf")
-            self._feed(e.Tick())
+            self._handle_event(events.Tick())
 
     def _sweep(self, now_ms):
-        """Connections to engines that nobody uses any more are closed also at rest."""
+        """Close idle connections to engines, also when no requests come in."""
         if now_ms >= self._sweep_ms:
-            self._sweep_ms = now_ms + _SWEEP_MS
+            self._sweep_ms = now_ms + _SWEEP_INTERVAL_MS
             self._calls.submit(self.pool.close_expired)
 
-    def _feed(self, event):
+    def _handle_event(self, event):
         try:
             for effect in nodes.handle(self._node, _now(), event):
-                self._do(effect)
-        except disks.DiskError as failed:
-            self._fail(failed.failure)
-        except OSError as failed:
-            self._fail(failures.DiskUntrusted("data folder", str(failed.strerror)))
-        except Exception as failed:
-            self._fail(failures.CoreBroke(type(event).__name__, repr(failed)))
+                self._apply_effect(effect)
+        except disks.DiskError as error:
+            self._fail(error.failure)
+        except OSError as error:
+            self._fail(failures.DiskUntrusted("data folder", str(error.strerror)))
+        except Exception as error:
+            self._fail(failures.CoreBroke(type(event).__name__, repr(error)))
             raise
 
     def _fail(self, failure):
         self.ring.log("stops", failures.as_json(failure), dump_reason=failure.tag)
         self._stopped.set()
 
-    def _do(self, effect):
+    def _apply_effect(self, effect):
         if isinstance(effect, Send):
-            self._pipes.send(effect.to, effect.message)
+            self._connections.send(effect.to, effect.message)
         elif isinstance(effect, Write):
             self._write(effect)
         elif isinstance(effect, (Save, Install)):
             self._disk.write(effect)
         elif isinstance(effect, Reply):
             with self._lock:
-                future = self._waiting.pop(effect.token, None)
+                future = self._futures.pop(effect.token, None)
             if future is not None:
                 future.set_result(effect.outcome)
         elif isinstance(effect, EngineCall):
@@ -231,34 +240,44 @@
             self.ring.log("dump", {}, dump_reason=effect.reason)
 
     def _write(self, effect):
-        last = effect.entries[-1]
-        claim = self._disk.reserve(effect)
+        last_entry = effect.entries[-1]
+        reservation = self._disk.reserve(effect)
         if effect.inline:
-            took_ms = self._disk.write_reserved(claim)
-            self._feed(e.Written(last.index, last.term, took_ms))
+            took_ms = self._disk.write_reserved(reservation)
+            self._handle_event(events.Written(last_entry.index, last_entry.term, took_ms))
         else:
-            self._writes.submit(self._put, claim, last)
+            self._writes.submit(self._write_in_background, reservation, last_entry)
 
-    def _put(self, claim, last):
+    def _write_in_background(self, reservation, last_entry):
         try:
-            self._queue.put(e.Written(last.index, last.term, self._disk.write_reserved(claim)))
-        except OSError as failed:
-            self._fail(failures.DiskUntrusted("log", str(failed.strerror)))
+            self._queue.put(
+                events.Written(
+                    last_entry.index, last_entry.term, self._disk.write_reserved(reservation)
+                )
+            )
+        except OSError as error:
+            self._fail(failures.DiskUntrusted("log", str(error.strerror)))
 
     def _call(self, effect):
-        told = {**effect.body, "engine": effect.engine, "holder": self.config.name}
+        request_body = {**effect.body, "engine": effect.engine, "holder": self.config.name}
         if self.dialect is None:
-            ask = engine_api.order_request(effect.url, effect.verb, effect.body)
-            ended = engine_calls.call(
-                ask, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms
+            request = engine_api.order_request(effect.url, effect.verb, effect.body)
+            exchange = engine_calls.call(
+                request, effect.timeout_ms, effect.timeout_ms / 2, effect.not_after_ms
             )
-            body = engine_api.read_json(ended.data) if ended.code else {}
+            body = engine_api.read_json(exchange.data) if exchange.code else {}
         else:
-            ask = self.dialect.engine_request(effect.url, effect.verb, told)
-            ended = proxying.call(self.pool, ask, effect.timeout_ms, effect.not_after_ms)
-            body = self.dialect.read_engine_response(effect.verb, told, ended.code, ended.data)
-        kept = ended.head is not None and ended.head.kept
-        self._queue.put(e.CallEnded(effect.id, ended.code, body or {}, ended.request_sent, kept))
+            request = self.dialect.engine_request(effect.url, effect.verb, request_body)
+            exchange = proxying.call(self.pool, request, effect.timeout_ms, effect.not_after_ms)
+            body = self.dialect.read_engine_response(
+                effect.verb, request_body, exchange.code, exchange.data
+            )
+        connection_reused = exchange.head is not None and exchange.head.kept
+        self._queue.put(
+            events.CallEnded(
+                effect.id, exchange.code, body or {}, exchange.request_sent, connection_reused
+            )
+        )
 
 
 def _now():
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -1,8 +1,8 @@
-"""Tenants' limits at this node: tokens for the tasks that come in, and, on a depot, what it
-gives to other nodes.
+"""Tenants' rate limits: token buckets for incoming requests, and, on a depot, grants of tokens
+to other nodes.
 
-A task of a limited tenant takes one token before its first attempt or place in line; what
-is tried again for it takes none.  Depots are those of the newest membership known here.
+A request of a limited tenant takes one token before its first attempt or before it joins the
+wait queue; retries take none.  Grants come from the depots of the newest known membership.
 """
 
 from dataclasses import dataclass, field
@@ -18,49 +18,50 @@
 
 from pulleyhitch import config as configs
 
-__all__ = ["Quotas", "begin", "described", "make", "on_ask", "on_grant", "tick"]
+__all__ = ["Quotas", "begin", "describe", "make", "on_request", "on_grant", "tick"]
 
 _UNANSWERED_RETRY_MS = 1000
 _LINE_FULL_RETRY_MS = 3000
-# How often the ring is told of refusals.
-_NOTE_MS = 5000.0
-_FIRST_NUMBERS = 1 << 48
+# Interval between notes of refusals in the log ring.
+_REPORT_INTERVAL_MS = 5000.0
+# Range of the random number with which the token requests of a node start.
+_FIRST_NUMBER_RANGE = 1 << 48
 
 
 @dataclass
 class Quotas:
-    """`standing` and `granting` are a depot's; `untold`: refusals by tenant since the ring
-    was last told."""
+    """State of rate limits.  `standing` is None except on a depot; `unreported_refusals`
+    counts refusals by tenant since the last note."""
 
     spending: spending.SpendingState
     granting: granting.GrantingState
     standing: grant_shares.GrantEligibility | None = None
-    untold: dict = field(default_factory=dict)
-    told_ms: float = -1e12
+    unreported_refusals: dict = field(default_factory=dict)
+    reported_ms: float = -1e12
 
 
 def make(config, random, group):
-    """What a fresh node begins with; `group` is a depot's opened replication group."""
-    terms = configs.quotas(config)
-    number = random.randrange(_FIRST_NUMBERS)
-    stands = None
+    """State of a new node; `group` is a depot's opened replication group."""
+    settings = configs.quota_settings(config)
+    number = random.randrange(_FIRST_NUMBER_RANGE)
+    standing = None
     if group is not None:
         restarted = bool(group.group)
-        stands = grant_shares.GrantEligibility(
-            group.identity, terms.quorum_timeout_ms, config.depots, restarted
+        standing = grant_shares.GrantEligibility(
+            group.identity, settings.quorum_timeout_ms, config.depots, restarted
         )
-    spends = spending.SpendingState(config.name, terms, number)
-    return Quotas(spends, granting.GrantingState(terms), stands)
+    spender = spending.SpendingState(config.name, settings, number)
+    return Quotas(spender, granting.GrantingState(settings), standing)
 
 
-def begin(node, now_ms, age_ms, crew, task):
-    """A caller's task has come in: it goes on, waits for a token, or gets its final answer."""
+def begin(node, now_ms, age_ms, peers, task):
+    """Start a caller's request: it is routed, waits for a token, or is refused."""
     limit = _limit(node, task.tenant)
     task.awaiting_quota = limit is not None
-    effects = router.begin(node.router, now_ms, node.floor, age_ms, crew, task)
+    effects = router.begin(node.router, now_ms, node.cluster, age_ms, peers, task)
     if limit is None or task.token not in node.router.tasks:
         return effects
-    _learn_depots(node)
+    _update_depots(node)
     outcome = spending.request_token(node.quotas.spending, now_ms, limit, task.token)
     if isinstance(outcome, spending.Pending):
         if not wait_queue.has_room(node.router, task):
@@ -69,90 +70,97 @@
             return effects + router.refuse(node.router, task, full)
         wait_queue.await_quota(task, now_ms)
     else:
-        effects += _decided(node, now_ms, crew, task, outcome)
-    return effects + _advance(node, now_ms, lambda *_: crew)
+        effects += _apply_decision(node, now_ms, peers, task, outcome)
+    return effects + _process_decisions(node, now_ms, lambda *_: peers)
 
 
 def _limit(node, name):
     """The limit of a tenant that has one, or None."""
-    facts = registries.tenants(node.floor.registry).get(name)
+    facts = registries.tenants(node.cluster.registry).get(name)
     if facts is None or not facts["ratePerS"] > 0:
         return None
     burst = max(0.0, float(facts["burst"]))
-    return RateLimit(name, node.floor.registry.stamp, float(facts["ratePerS"]), burst)
+    return RateLimit(name, node.cluster.registry.stamp, float(facts["ratePerS"]), burst)
 
 
-def _learn_depots(node):
+def _update_depots(node):
     addresses = [member.address for member in node.peers.group.members]
     depot_choice.update(node.quotas.spending.depots, addresses)
 
 
-def _advance(node, now_ms, crew_of):
-    """Tell the tasks that are decided by now, and send the asks that are due."""
-    _forget_gone(node)
-    decisions, asks = spending.advance(node.quotas.spending, now_ms)
-    effects = [Send(asking.to, asking.message) for asking in asks]
+def _process_decisions(node, now_ms, peers_of):
+    """Apply the decisions made by now, and send the token requests that are due."""
+    _cancel_ended(node)
+    decisions, requests = spending.advance(node.quotas.spending, now_ms)
+    effects = [Send(request.to, request.message) for request in requests]
     for decision in decisions:
         task = node.router.tasks[decision.token]
-        effects += _decided(node, now_ms, crew_of(node, now_ms), task, decision.outcome)
+        effects += _apply_decision(node, now_ms, peers_of(node, now_ms), task, decision.outcome)
     return effects
 
 
-def _forget_gone(node):
-    for token in _in_line(node):
+def _cancel_ended(node):
+    for token in _waiting_tokens(node):
         if token not in node.router.tasks:
             spending.cancel(node.quotas.spending, token)
 
 
-def _in_line(node):
-    spends = node.quotas.spending
-    return [one.token for name in sorted(spends.queued) for one in spends.tenants[name].queue]
+def _waiting_tokens(node):
+    spender = node.quotas.spending
+    return [
+        waiting.token for name in sorted(spender.queued) for waiting in spender.tenants[name].queue
+    ]
 
 
-def _decided(node, now_ms, crew, task, outcome):
+def _apply_decision(node, now_ms, peers, task, outcome):
     if isinstance(outcome, spending.Granted):
-        return router.admit(node.router, now_ms, node.floor, crew, task)
-    untold = node.quotas.untold
-    untold[task.tenant] = untold.get(task.tenant, 0) + 1
+        return router.admit(node.router, now_ms, node.cluster, peers, task)
+    unreported_refusals = node.quotas.unreported_refusals
+    unreported_refusals[task.tenant] = unreported_refusals.get(task.tenant, 0) + 1
     failure = failures.QuotaExceeded(task.tenant, int(outcome.retry_ms))
     return router.refuse(node.router, task, failure)
 
 
-def on_ask(node, now_ms, sender, message):
-    """Another node, or this one, asks for tokens."""
+def on_request(node, now_ms, sender, message):
+    """Handle a node's request for tokens; it may be this node's own."""
     if node.depot is None:
         return [Send(sender, QuotaReply(message.number, False, ()))]
-    _observe(node, now_ms)
+    _observe_membership(node, now_ms)
     share = grant_shares.current_share(
-        node.quotas.standing, now_ms, follows.age(node.follow, now_ms)
+        node.quotas.standing, now_ms, follows.age(node.follower, now_ms)
     )
     share = None if node.closing else share
     return [Send(sender, granting.on_request(node.quotas.granting, now_ms, message, share))]
 
 
-def _observe(node, now_ms):
-    """The committed membership, of which this node's marks tell how current it is."""
+def _observe_membership(node, now_ms):
+    """Observe the committed membership, as this node's feed has it."""
     founders = {member.identity for member in node.depot.group.founders}
-    grant_shares.observe(node.quotas.standing, now_ms, node.follow.state.members, founders)
+    grant_shares.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
 
 
-def on_grant(node, now_ms, sender, message, crew_of):
-    """A depot has answered: those who waited for it go on."""
+def on_grant(node, now_ms, sender, message, peers_of):
+    """Handle a depot's grant: the requests that waited for it proceed."""
     spending.on_grant(node.quotas.spending, now_ms, sender, message)
-    return _advance(node, now_ms, crew_of)
+    return _process_decisions(node, now_ms, peers_of)
 
 
-def tick(node, now_ms, crew_of):
-    """Depots that are silent are passed over; tasks that no depot answered are refused."""
+def tick(node, now_ms, peers_of):
+    """Skip silent depots, refuse requests whose tokens came from no depot in time, and note
+    refusals."""
     if node.depot is not None:
-        _observe(node, now_ms)
-    _learn_depots(node)
-    return _give_up(node, now_ms) + _advance(node, now_ms, crew_of) + _notes(node, now_ms)
+        _observe_membership(node, now_ms)
+    _update_depots(node)
+    return (
+        _refuse_expired(node, now_ms)
+        + _process_decisions(node, now_ms, peers_of)
+        + _report_refusals(node, now_ms)
+    )
 
 
-def _give_up(node, now_ms):
+def _refuse_expired(node, now_ms):
     effects = []
-    for token in _in_line(node):
+    for token in _waiting_tokens(node):
         task = node.router.tasks.get(token)
         if task is not None and now_ms >= task.give_up_ms:
             spending.cancel(node.quotas.spending, token)
@@ -161,27 +169,35 @@
     return effects
 
 
-def _notes(node, now_ms):
-    """Refusals since the last note, a line for all tenants."""
+def _report_refusals(node, now_ms):
+    """One note with the refusals of all tenants since the last one."""
     quotas = node.quotas
-    if not quotas.untold or now_ms - quotas.told_ms < _NOTE_MS:
+    if not quotas.unreported_refusals or now_ms - quotas.reported_ms < _REPORT_INTERVAL_MS:
         return []
-    note = LogLine("quota-refusals", {"tenants": quotas.untold})
-    quotas.untold, quotas.told_ms = {}, now_ms
+    note = LogLine("quota-refusals", {"tenants": quotas.unreported_refusals})
+    quotas.unreported_refusals, quotas.reported_ms = {}, now_ms
     return [note]
 
 
-def described(node):
-    """By tenant: its limit, what this node got and did, and what it gave as a depot."""
+def describe(node):
+    """By tenant: its limit, this node's counts, and what it granted as a depot."""
     found = {}
-    for name, facts in sorted(registries.tenants(node.floor.registry).items()):
+    for name, facts in sorted(registries.tenants(node.cluster.registry).items()):
         found[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
-        here = node.quotas.spending.tenants.get(name)
-        if here is not None:
-            counts = {"granted": here.granted, "spent": here.spent, "refused": here.refused}
-            found[name] |= {**counts, "waiting": len(here.queue)}
-        held = node.quotas.granting.tenants.get(name)
-        if held is not None:
-            left = round(held.bucket.tokens, 2)
-            found[name]["depot"] = {"given": held.given, "short": held.short, "left": left}
+        spent_here = node.quotas.spending.tenants.get(name)
+        if spent_here is not None:
+            counts = {
+                "granted": spent_here.granted,
+                "spent": spent_here.spent,
+                "refused": spent_here.refused,
+            }
+            found[name] |= {**counts, "waiting": len(spent_here.queue)}
+        granted_here = node.quotas.granting.tenants.get(name)
+        if granted_here is not None:
+            left = round(granted_here.bucket.tokens, 2)
+            found[name]["depot"] = {
+                "given": granted_here.given,
+                "short": granted_here.short,
+                "left": left,
+            }
     return found
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -1,4 +1,4 @@
-"""The HTTP side of a node: callers (on counters) and operators (everywhere).
+"""The product's own HTTP interface: callers (on counters) and operators (on every node).
 
     GET  /operator/read/<what>?name=      layout, zones, engines, why, holds, tenants
     POST /operator/layout                 {"partner", "section", "partial"?, "expect"?, "change"?}
@@ -6,9 +6,9 @@
     POST /operator/engines                {"engines": [...], ...}   from the platform
     GET  /operator/fleet, /operator/believes
 
-An operator says who they are by X-Partner, and proves it with a bearer token
-where the config has one for that partner.  With a token for `platform`, only it
-changes the engine list, and it changes nothing else.
+An operator names its partner in X-Partner; if the config has tokens, it authenticates with that
+partner's bearer token.  If there is a token for `platform`, only that partner may change the
+engine list, and it may change nothing else.
 """
 
 import hmac
@@ -23,9 +23,9 @@
 from werkzeug.wrappers import Request
 
 from pulleyhitch import admission
-from pulleyhitch.command_forwarding import Answered
-from pulleyhitch.http_handler import Front, Handler
-from pulleyhitch.listener import Door
+from pulleyhitch.command_forwarding import CommandResult
+from pulleyhitch.http_handler import RequestHandler, ServerContext
+from pulleyhitch.listener import Listener
 
 __all__ = ["Server"]
 
@@ -40,93 +40,97 @@
         Rule("/operator/believes", endpoint="believes", methods=["GET"]),
     ]
 )
-_READS = ("layout", "zones", "engines", "why", "holds", "tenants")
-_LAYOUT_BYTES = 8 << 20
+_READABLE_PARTS = ("layout", "zones", "engines", "why", "holds", "tenants")
+_LAYOUT_LIMIT_BYTES = 8 << 20
 _PLATFORM = "platform"
-_TASKS = ("task", "route", "lookup")
+_TASK_ENDPOINTS = ("task", "route", "lookup")
 
 
 class Server:
-    """`run` serves until the process stops."""
+    """Serves the product's own interface; `run` serves until the process stops.
+
+    Handlers are looked up by endpoint: `_task`, `_read`, `_fleet` and so on respond to a
+    request, `_read_task`, `_read_route` and `_read_lookup` parse callers' requests."""
 
     def __init__(self, process):
         self._process = process
         self._config = process.config
-        self._serving = serving.TaskHandler(process.ask, 500)
-        self._classes = {}
+        self._serving = serving.TaskHandler(process.request, 500)
+        self._route_classes = {}
         host, _, port = self._config.http.rpartition(":")
-        self._front = Front(
+        self._server_context = ServerContext(
             (host, int(port)),
             self._app,
             lambda *what: process.ring.log("http", {"what": str(what)[:2000]}, dump_reason="http"),
         )
         try:
-            self._door = Door(
+            self._listener = Listener(
                 host.strip("[]"),
                 int(port),
                 self._config.httpThreads,
                 self._begin,
-                lambda data: admission.kind(data, self._rank_of),
+                lambda data: admission.classify(data, self._rank_of),
                 0.4 * self._config.bounds.serviceBackMs / 1000,
                 policy=admission.PRODUCT_POLICY,
             )
-        except OSError as failed:
-            raise OSError(self._config.http) from failed
+        except OSError as error:
+            raise OSError(self._config.http) from error
 
     def run(self):
-        self._door.run()
+        self._listener.run()
 
     def stop(self):
-        self._door.stop()
+        """Accept no more connections."""
+        self._listener.stop()
 
     def _rank_of(self, route):
-        return RANK.get(self._classes.get(route), 1)
+        return RANK.get(self._route_classes.get(route), 1)
 
     def _begin(self, caller):
-        """First look at a request: answer it, or find that its task must wait."""
-        handler = Handler(caller, caller.address, self._front)
-        if not handler.whole:
+        """Start a request: answer it, or return the callbacks with which it waits."""
+        handler = RequestHandler(caller, caller.address, self._server_context)
+        if not handler.parsed:
             return None
-        task = self._first_step(handler)
+        task = self._submit_task(handler)
         if task is None:
             handler.run_wsgi()
             return None
-        token, told, future = task
+        token, facts, future = task
 
-        def finish(step):
-            handler.told["pulleyhitch.step"] = (token, told, step)
+        def finish(outcome):
+            handler.wsgi_environ["pulleyhitch.step"] = (token, facts, outcome)
             handler.run_wsgi()
 
-        def left():
-            self._process.tell(token, "ended", {"proof": "gone"})
+        def on_disconnect():
+            self._process.notify(token, "ended", {"proof": "gone"})
 
         if future.done():
             finish(future.result())
             return None
-        return future, finish, left
+        return future, finish, on_disconnect
 
-    def _first_step(self, handler):
-        """(token, task, future) of a caller's task; None for all else."""
+    def _submit_task(self, handler):
+        """Submit a caller's task: (token, task, future); None for any other request."""
         if self._config.role != "counter":
             return None
-        request = Request(handler.told)
+        request = Request(handler.wsgi_environ)
         try:
-            endpoint, values = _RULES.bind_to_environ(handler.told).match()
+            endpoint, values = _RULES.bind_to_environ(handler.wsgi_environ).match()
         except HTTPException:
             return None
-        if endpoint not in _TASKS:
+        if endpoint not in _TASK_ENDPOINTS:
             return None
-        told = getattr(self, "_read_" + endpoint)(request, **values)
-        if isinstance(told, failures.Failure):
-            handler.told["pulleyhitch.step"] = ("", None, told)
+        facts = getattr(self, "_read_" + endpoint)(request, **values)
+        if isinstance(facts, failures.Failure):
+            handler.wsgi_environ["pulleyhitch.step"] = ("", None, facts)
             return None
         token = secrets.token_hex(8)
-        future = self._process.post(token, "task", told)
+        future = self._process.submit(token, "task", facts)
         try:
             future.exception(0.005)
         except TimeoutError:
             pass
-        return token, told, future
+        return token, facts, future
 
     def _read_task(self, request, route=None):
         body = caller_api.read_body(request)
@@ -135,11 +139,11 @@
         return caller_api.read_task(body, route, self._config.deadlineMs)
 
     def _read_route(self, request, name):
-        found = self._process.ask(secrets.token_hex(8), "route", {"name": name})
-        if isinstance(found, failures.Failure):
-            return found
-        self._classes[name] = found.body.get("class")
-        return self._read_task(request, found.body)
+        route_result = self._process.request(secrets.token_hex(8), "route", {"name": name})
+        if isinstance(route_result, failures.Failure):
+            return route_result
+        self._route_classes[name] = route_result.body.get("class")
+        return self._read_task(request, route_result.body)
 
     def _read_lookup(self, request, service, key):
         return caller_api.read_lookup(service, key, self._config.deadlineMs)
@@ -149,21 +153,21 @@
         try:
             endpoint, values = _RULES.bind_to_environ(environ).match()
             response = getattr(self, "_" + endpoint)(request, **values)
-        except HTTPException as wrong:
+        except HTTPException as error:
             response = caller_api.json_response(
                 {
-                    "failure": "not-found" if wrong.code == 404 else "http-wrong",
-                    "cause": wrong.name,
+                    "failure": "not-found" if error.code == 404 else "http-wrong",
+                    "cause": error.name,
                 },
-                wrong.code,
+                error.code,
             )
         return response(environ, start_response)
 
-    def _ask(self, verb, body):
-        outcome = self._process.ask(secrets.token_hex(8), verb, body)
+    def _respond(self, verb, body):
+        outcome = self._process.request(secrets.token_hex(8), verb, body)
         if isinstance(outcome, failures.Failure):
             return caller_api.failure_response(outcome)
-        if isinstance(outcome, Answered):
+        if isinstance(outcome, CommandResult):
             response = caller_api.json_response(outcome.body, outcome.status)
             if "retryMs" in outcome.body:
                 response.headers["Retry-After"] = str(-(-outcome.body["retryMs"] // 1000))
@@ -171,41 +175,42 @@
         return caller_api.json_response(outcome if not isinstance(outcome, Done) else {})
 
     def _task(self, request, **values):
-        """Its first step was taken before a thread was given to the rest."""
+        """Respond to a task whose first outcome `_begin` has put into the environment."""
         if "pulleyhitch.step" not in request.environ:
             return caller_api.failure_response(failures.NotFound("callers are served by counters"))
-        token, told, step = request.environ["pulleyhitch.step"]
-        if isinstance(step, failures.Failure):
-            return caller_api.failure_response(step)
-        return self._serving.serve(token, told, step, request.environ)
+        token, facts, outcome = request.environ["pulleyhitch.step"]
+        if isinstance(outcome, failures.Failure):
+            return caller_api.failure_response(outcome)
+        return self._serving.serve(token, facts, outcome, request.environ)
 
     _route = _lookup = _task
 
     def _read(self, request, what):
-        if what not in _READS:
+        if what not in _READABLE_PARTS:
             return caller_api.failure_response(failures.NotFound(what))
-        return self._ask("read", {"what": what, "name": request.args.get("name", "")})
+        return self._respond("read", {"what": what, "name": request.args.get("name", "")})
 
     def _fleet(self, request):
-        return self._ask("fleet", {})
+        return self._respond("fleet", {})
 
     def _believes(self, request):
-        return self._ask("believes", {})
+        return self._respond("believes", {})
 
     def _change(self, request, verb):
-        body = caller_api.read_body(request, _LAYOUT_BYTES)
+        body = caller_api.read_body(request, _LAYOUT_LIMIT_BYTES)
         if isinstance(body, failures.Failure):
             return caller_api.failure_response(body)
         actor = request.headers.get("X-Partner", "")
-        wanted = self._config.tokens.get(actor)
-        given = request.headers.get("Authorization", "").removeprefix("Bearer ")
+        expected_token = self._config.tokens.get(actor)
+        token = request.headers.get("Authorization", "").removeprefix("Bearer ")
         if self._config.tokens and (
-            wanted is None or not hmac.compare_digest(wanted.encode(), given.encode())
+            expected_token is None
+            or not hmac.compare_digest(expected_token.encode(), token.encode())
         ):
             return caller_api.failure_response(failures.WrongPartner(actor, "(token)"))
         if _PLATFORM in self._config.tokens and (verb == "engines") != (actor == _PLATFORM):
             return caller_api.failure_response(failures.WrongPartner(actor, f"({verb})"))
-        # The id under which a command travels is the node's own: two operators who
-        # chose the same would be given each other's answers.
+        # The node assigns the id of a command: two operators that chose the same one would
+        # get each other's answers.
         body.pop("id", None)
-        return self._ask(verb, {**body, "actor": actor})
+        return self._respond(verb, {**body, "actor": actor})
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -1,8 +1,9 @@
-"""The shards this node holds: shard 0's office, and placers for the others.
+"""The shards whose lease this node holds: shard 0 with the configuration, and placers for the
+others.
 
-A node learns from the feed that a grant names it, recovers the shard in
-pages, and keeps it until the feed names another holder or its own clock says
-that the grant may have ended.
+A node learns from the feed that it holds a lease, recovers the shard's state in chunks, and
+serves the shard until the feed names another holder, or until the lease may have ended by its
+own clock.
 """
 
 from dataclasses import dataclass, field
@@ -23,20 +24,21 @@
     "on_durable",
     "on_chunk",
     "on_refused",
-    "on_called",
+    "on_call_result",
     "command",
     "lease_end",
     "release_all",
     "flush",
-    "answers_waiting",
+    "has_pending_answers",
 ]
 
-_ENDS = 0.8
+# Part of the time until leases are revoked after which the holder takes its lease as ended.
+_LEASE_RATIO = 0.8
 
 
 @dataclass
 class ConfigurationOwner:
-    """Shard 0: the layout and the engine list."""
+    """State of shard 0: the layout and the engine list."""
 
     shard: int
     epoch: int
@@ -49,6 +51,9 @@
 
 @dataclass
 class ShardOwnership:
+    """The held shards, by number, in `owners`: a ConfigurationOwner for shard 0, a Placer for
+    any other.  `provider` is the address of the platform's list of engines, or empty."""
+
     shards: int
     zones: tuple
     reader: object = None
@@ -56,178 +61,195 @@
     owners: dict = field(default_factory=dict)
 
 
-def lease_end(follow, times):
-    """When our grants must be taken as ended, on our own clock."""
-    return follow.direct_ms + _ENDS * times.revoke_ms
+def lease_end(follower, times):
+    """When this node must take its leases as ended, on its own clock."""
+    return follower.direct_ms + _LEASE_RATIO * times.revoke_ms
 
 
-def _notice(ownership, card, book):
+def _apply_grants(ownership, card, log_state):
     effects = []
-    for shard, part in book.shards.items():
-        mine = part.holder == card.name and part.incarnation == card.incarnation
-        kept = ownership.owners.get(shard)
-        if mine and (kept is None or kept.epoch < part.epoch):
-            held = shard_log.ShardLog(shard, part.epoch)
+    for shard, assignment in log_state.shards.items():
+        is_ours = assignment.holder == card.name and assignment.incarnation == card.incarnation
+        owner = ownership.owners.get(shard)
+        if is_ours and (owner is None or owner.epoch < assignment.epoch):
+            held = shard_log.ShardLog(shard, assignment.epoch)
             ownership.owners[shard] = (
                 ConfigurationOwner(
                     shard,
-                    part.epoch,
+                    assignment.epoch,
                     held,
                     registries.Registry(zonesKnown=ownership.zones, reader=ownership.reader),
                 )
                 if shard == 0
-                else Placer(shard, part.epoch, held, held_before=part.previous_holder == card.name)
+                else Placer(
+                    shard,
+                    assignment.epoch,
+                    held,
+                    held_before=assignment.previous_holder == card.name,
+                )
             )
-            effects.append(LogLine("holds", {"shard": shard, "epoch": part.epoch}, True))
-        elif kept and not mine and part.epoch > kept.epoch:
+            effects.append(LogLine("holds", {"shard": shard, "epoch": assignment.epoch}, True))
+        elif owner and not is_ours and assignment.epoch > owner.epoch:
             del ownership.owners[shard]
-            effects.append(LogLine("held", {"shard": shard, "epoch": kept.epoch}, True))
+            effects.append(LogLine("held", {"shard": shard, "epoch": owner.epoch}, True))
     return effects
 
 
-def tick(ownership, now_ms, card, follow, floor, times, terms, leader, lost):
-    effects = _notice(ownership, card, follow.state)
-    end_ms = lease_end(follow, times)
-    for kept in ownership.owners.values():
-        held = kept.held
+def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, report_lost):
+    """Follow changes of leases, recover new shards, and run the placers and checkpoints."""
+    effects = _apply_grants(ownership, card, follower.state)
+    end_ms = lease_end(follower, times)
+    for owner in ownership.owners.values():
+        held = owner.held
         if not held.ready:
             if leader and now_ms - held.requested_ms > times.ping_ms:
                 effects += shard_log.request_recovery(held, now_ms, card, leader)
             continue
-        shard_log.resend(held, now_ms, follow.term, 2 * times.ping_ms)
-        if kept.shard == 0:
+        shard_log.resend(held, now_ms, follower.term, 2 * times.ping_ms)
+        if owner.shard == 0:
             if now_ms < end_ms and not held.lost:
                 effects += engine_list_polling.tick(
-                    kept.roster, now_ms, terms, ownership.provider, f"0|{kept.epoch}"
+                    owner.roster, now_ms, settings, ownership.provider, f"0|{owner.epoch}"
                 )
         else:
             effects += placer.tick(
-                kept, now_ms, floor.registry, ownership.shards, terms, end_ms, lost
+                owner, now_ms, cluster.registry, ownership.shards, settings, end_ms, report_lost
             )
-        confirmed_at = state_machine.shard_of(follow.state, kept.shard).checkpoint_at
-        effects += _checkpoint(kept, now_ms, card, terms, leader, confirmed_at, times)
+        confirmed_at = state_machine.shard_of(follower.state, owner.shard).checkpoint_at
+        effects += _checkpoint(owner, now_ms, card, settings, leader, confirmed_at, times)
     return effects + flush(ownership, now_ms, card, leader)
 
 
 def flush(ownership, now_ms, card, leader):
+    """Send the records that were appended to the shards' logs since the last call."""
     effects = []
-    for kept in ownership.owners.values():
-        if not kept.held.lost:
-            effects += shard_log.flush(kept.held, now_ms, card, leader)
+    for owner in ownership.owners.values():
+        if not owner.held.lost:
+            effects += shard_log.flush(owner.held, now_ms, card, leader)
     return effects
 
 
-def _checkpoint(kept, now_ms, card, terms, leader, confirmed_at, times):
-    held = kept.held
-    if shard_log.checkpoint_due(held, terms.checkpoint_records):
-        body = registries.dump(kept.registry) if kept.shard == 0 else ledgers.dump(kept.ledger)
+def _checkpoint(owner, now_ms, card, settings, leader, confirmed_at, times):
+    held = owner.held
+    if shard_log.checkpoint_due(held, settings.checkpoint_records):
+        body = registries.dump(owner.registry) if owner.shard == 0 else ledgers.dump(owner.ledger)
         shard_log.prepare_checkpoint(held, body)
     retry_ms = times.revoke_ms
     return shard_log.send_checkpoint(held, now_ms, card, leader, confirmed_at, retry_ms)
 
 
-def on_chunk(ownership, now_ms, sender, message, terms):
-    """A chunk of a shard that we were given came."""
-    kept = ownership.owners.get(message.shard)
-    if kept is None:
+def on_chunk(ownership, now_ms, sender, message, settings):
+    """Handle a chunk of a shard's state; after the last one the shard is recovered."""
+    owner = ownership.owners.get(message.shard)
+    if owner is None:
         return []
-    effects, whole = shard_log.on_chunk(kept.held, now_ms, sender, message)
-    if not whole:
+    effects, complete = shard_log.on_chunk(owner.held, now_ms, sender, message)
+    if not complete:
         return effects
-    if kept.shard == 0:
-        kept.registry = registries.load(kept.held.checkpoint, ownership.zones, ownership.reader)
-        registries.replay(kept.registry, kept.held.records)
+    if owner.shard == 0:
+        owner.registry = registries.load(owner.held.checkpoint, ownership.zones, ownership.reader)
+        registries.replay(owner.registry, owner.held.records)
     else:
-        placer.on_taken_over(kept, now_ms, terms)
-    kept.held.checkpoint, kept.held.records = b"", []
-    facts = {"shard": message.shard, "epoch": message.epoch, "next": kept.held.next}
+        placer.on_taken_over(owner, now_ms, settings)
+    owner.held.checkpoint, owner.held.records = b"", []
+    facts = {"shard": message.shard, "epoch": message.epoch, "next": owner.held.next}
     return effects + [LogLine("recovered", facts, True)]
 
 
-def on_durable(ownership, now_ms, message, follow, floor, times, terms):
+def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
+    """Records of our shards are committed: run what waited for them."""
     effects = []
-    for place in message.positions:
-        kept = ownership.owners.get(place.shard)
-        if kept is None:
+    for position in message.positions:
+        owner = ownership.owners.get(position.shard)
+        if owner is None:
             continue
-        for then in shard_log.on_durable(kept.held, place, now_ms):
-            if kept.shard == 0:
-                effects.append(Reply(then[1], then[2]))
+        for continuation in shard_log.on_durable(owner.held, position, now_ms):
+            if owner.shard == 0:
+                effects.append(Reply(continuation[1], continuation[2]))
             else:
                 effects += placer.on_durable(
-                    kept, now_ms, then, floor.registry, terms, lease_end(follow, times)
+                    owner,
+                    now_ms,
+                    continuation,
+                    cluster.registry,
+                    settings,
+                    lease_end(follower, times),
                 )
     return effects
 
 
 def on_refused(ownership, message):
-    kept = ownership.owners.get(message.shard)
-    if kept is not None:
-        shard_log.on_refused(kept.held, message)
+    """The leader refused records of a shard."""
+    owner = ownership.owners.get(message.shard)
+    if owner is not None:
+        shard_log.on_refused(owner.held, message)
     return []
 
 
-def on_called(ownership, now_ms, called, floor, terms):
-    shard, epoch, id_ = called.id.split("|", 2)
-    kept = ownership.owners.get(int(shard))
-    if kept is None or kept.epoch != int(epoch):
+def on_call_result(ownership, now_ms, result, cluster, settings):
+    """A call to an engine or to the provider ended; its id names the shard and the epoch."""
+    shard, epoch, id_ = result.id.split("|", 2)
+    owner = ownership.owners.get(int(shard))
+    if owner is None or owner.epoch != int(epoch):
         return []
-    if kept.shard == 0:
-        return _listed(ownership, now_ms, kept, id_, called, terms)
-    return placer.on_called(kept, now_ms, id_, called, floor.registry, ownership.shards, terms)
+    if owner.shard == 0:
+        return _apply_engine_list(ownership, now_ms, owner, id_, result, settings)
+    return placer.on_called(
+        owner, now_ms, id_, result, cluster.registry, ownership.shards, settings
+    )
 
 
-def _listed(ownership, now_ms, kept, id_, called, terms):
-    """A page of the platform's list came: what has changed is logged for all."""
+def _apply_engine_list(ownership, now_ms, owner, id_, result, settings):
+    """Apply a page of the platform's engine list: changes are appended to the log."""
     effects, changed = engine_list_polling.on_called(
-        kept.roster,
+        owner.roster,
         now_ms,
         id_,
-        called,
-        kept.registry,
-        terms,
+        result,
+        owner.registry,
+        settings,
         ownership.provider,
-        f"0|{kept.epoch}",
+        f"0|{owner.epoch}",
     )
-    if changed and not kept.held.lost:
-        record, _, failure = registries.decide(kept.registry, "engines", {"engines": changed})
+    if changed and not owner.held.lost:
+        record, _, failure = registries.decide(owner.registry, "engines", {"engines": changed})
         if record is not None:
-            registries.apply(kept.registry, record)
-            shard_log.append(kept.held, record)
+            registries.apply(owner.registry, record)
+            shard_log.append(owner.held, record)
         elif failure is not None:
-            effects.append(LogLine("list-wrong", failures.as_json(failure)))
+            effects.append(LogLine("engine-list-invalid", failures.as_json(failure)))
     return effects
 
 
-def command(ownership, now_ms, token, shard, verb, body, follow, floor, times, terms):
-    """A command for a shard that this node is thought to hold."""
-    kept = ownership.owners.get(shard)
+def command(ownership, now_ms, token, shard, verb, body, follower, cluster, times, settings):
+    """Handle a command for a shard; NoHolder if this node doesn't hold it, or not yet."""
+    owner = ownership.owners.get(shard)
     if (
-        kept is None
-        or not kept.held.ready
-        or kept.held.lost
-        or (now_ms >= lease_end(follow, times))
+        owner is None
+        or not owner.held.ready
+        or owner.held.lost
+        or (now_ms >= lease_end(follower, times))
     ):
         return [Reply(token, failures.NoHolder(1000, shard))]
     if shard != 0:
-        return placer.on_command(kept, now_ms, token, verb, body, floor.registry, terms)
+        return placer.on_command(owner, now_ms, token, verb, body, cluster.registry, settings)
     try:
-        record, answer, failure = registries.decide(kept.registry, verb, body)
-    except Exception as failed:
-        return _not_judged(token, verb, failed)
+        record, answer, failure = registries.decide(owner.registry, verb, body)
+    except Exception as error:
+        return _report_defect(token, verb, error)
     answer = failure if failure is not None else answer
-    then = ("reply", token, answer)
+    continuation = ("reply", token, answer)
     if record is not None:
-        registries.apply(kept.registry, record)
-        shard_log.append(kept.held, record, then)
+        registries.apply(owner.registry, record)
+        shard_log.append(owner.held, record, continuation)
         return []
-    return [Reply(token, answer)] if shard_log.barrier(kept.held, then) else []
+    return [Reply(token, answer)] if shard_log.barrier(owner.held, continuation) else []
 
 
-def _not_judged(token, verb, failed):
-    """A defect of ours met an order that it can't judge.  Nothing has changed, and stopping
-    would only hand the same order to the next holder, and end that one too."""
-    failure = failures.CoreBroke(verb, repr(failed))
+def _report_defect(token, verb, error):
+    """Report an exception raised by a command.  Nothing has changed.  The node goes on:
+    stopping would only hand the same command to the next holder, and crash that one too."""
+    failure = failures.CoreBroke(verb, repr(error))
     return [
         Reply(token, failure),
         LogLine("not-judged", failures.as_json(failure)),
@@ -236,19 +258,19 @@
 
 
 def release_all(ownership, card, leader, successors):
-    """On an orderly stop: give grants back, naming who should follow.  From here
-    on nothing is sent for these shards; the next holder waits out our calls."""
+    """Release all leases in an orderly stop, naming successors.  Nothing is sent for these
+    shards from then on; the next holder waits until calls in flight have ended."""
     effects = []
-    for shard, kept in sorted(ownership.owners.items()):
-        kept.held.released = True
+    for shard, owner in sorted(ownership.owners.items()):
+        owner.held.released = True
         successor = successors[shard % len(successors)] if successors else ""
         if leader:
-            effects.append(Send(leader, LeaseRelease(card.name, shard, kept.epoch, successor)))
+            effects.append(Send(leader, LeaseRelease(card.name, shard, owner.epoch, successor)))
     return effects
 
 
-def answers_waiting(ownership):
-    """Whether somebody waits until a change of the configuration is durable."""
+def has_pending_answers(ownership):
+    """Whether a response waits for a change of the configuration to become durable."""
     return any(
         owner.held.waiting
         for owner in ownership.owners.values()
--- a/libs/simulation/src/simulation/register/cluster.py
+++ b/libs/simulation/src/simulation/register/cluster.py
@@ -3,7 +3,7 @@
 import random
 
 from pulleyhitch import config as configs
-from pulleyhitch.operator_requests import Answered
+from pulleyhitch.operator_requests import CommandResult
 from transport import events as e
 from transport import failures
 from werkzeug.test import EnvironBuilder
@@ -92,7 +92,7 @@
         found = [
             (owner.epoch, name)
             for name, host in self.world.hosts.items()
-            if host.node and (owner := host.node.owners.owners.get(0)) and owner.held.ready
+            if host.node and (owner := host.node.ownership.owners.get(0)) and owner.held.ready
         ]
         return max(found)[1] if found else None
 
@@ -168,7 +168,7 @@
         """A confirmed read of the zones evacuated, by the product's own interface."""
 
         def done(outcome):
-            if isinstance(outcome, Answered):
+            if isinstance(outcome, CommandResult):
                 answered(frozenset(outcome.body["evacuated"]))
             else:
                 answered(None)
--- a/tests/tenant_harness.py
+++ b/tests/tenant_harness.py
@@ -33,9 +33,7 @@
     attempt_ms=1000.0,
     retryAllowance=1000.0,
 )
-_SERVICES = {
-    "s": {"kind": "models", "models": [{"name": MODEL, "roomMb": 1.0}], "loadsPerS": 1.0},
-}
+_SERVICES = {"s": {"kind": "models", "models": [{"name": MODEL, "roomMb": 1.0}], "loadsPerS": 1.0}}
 
 
 def tenant(*keys, rank=None):
@@ -68,8 +66,8 @@
         self.node = SimpleNamespace(
             closing=False,
             config=SimpleNamespace(bounds=SimpleNamespace(layoutMs=BOUND_MS)),
-            follow=follower.FeedFollower(current_ms=NOW_MS - age_ms),
-            floor=cluster_state.ClusterState(SHARDS, registry=registry),
+            follower=follower.FeedFollower(current_ms=NOW_MS - age_ms),
+            cluster=cluster_state.ClusterState(SHARDS, registry=registry),
             router=router.Router(SETTINGS),
             times=SimpleNamespace(elect_ms=300.0),
         )
@@ -84,13 +82,13 @@
         section = {**written.section(routes, _SERVICES), "tenants": tenants}
         record = {"k": "layout", "partner": written.OWNER, "section": section}
         record["stamp"] = self._stamp
-        registries.apply(self.node.floor.registry, json.dumps(record).encode())
+        registries.apply(self.node.cluster.registry, json.dumps(record).encode())
         return self._retry_waiting()
 
     def load(self, loaded):
         """Load the model on all engines, or unload it from all."""
-        ledger = cluster_state.ledger_of(self.node.floor, registry_view.shard_of("s", SHARDS))
-        for engine in self.node.floor.registry.engines:
+        ledger = cluster_state.ledger_of(self.node.cluster, registry_view.shard_of("s", SHARDS))
+        for engine in self.node.cluster.registry.engines:
             verb = "load" if loaded else "unload"
             record = ledgers.order_record(engine, MODEL, verb, f"o{engine}", 1.0, 0, "s")
             ledgers.apply(ledger, record)
@@ -100,7 +98,7 @@
 
     def _retry_waiting(self):
         node = self.node
-        return _outcomes(router.retry_waiting(node.router, self.now_ms, node.floor, 0.0, NODES))
+        return _outcomes(router.retry_waiting(node.router, self.now_ms, node.cluster, 0.0, NODES))
 
     def send(self, token, key, prefix=CLOSED):
         """A request comes in with a key, given as bytes."""
@@ -121,14 +119,14 @@
     def attempt_failed(self, token, proof):
         """An attempt of a request ended without a response."""
         node = self.node
-        effects = router.ended(node.router, self.now_ms, node.floor, 0.0, NODES, token, proof)
+        effects = router.ended(node.router, self.now_ms, node.cluster, 0.0, NODES, token, proof)
         return _outcomes(effects)
 
     def silent(self, token):
         """An attempt of a request has had no response for long."""
         node = self.node
         return _outcomes(
-            router.attempt_silent(node.router, self.now_ms, node.floor, 0.0, NODES, token)
+            router.attempt_silent(node.router, self.now_ms, node.cluster, 0.0, NODES, token)
         )
 
     def task(self, token):
--- a/tests/test_quota_wiring.py
+++ b/tests/test_quota_wiring.py
@@ -54,7 +54,7 @@
         self.counters = sorted(n for n in self.world.hosts if n[0] == "c")
         self.depots = sorted(n for n in self.world.hosts if n[0] == "d")
         for name in self.counters:
-            registry = self.node(name).floor.registry
+            registry = self.node(name).cluster.registry
             registry.sections["quotas"] = SECTION
             registry.engines["q0"] = engine_facts("q0", "plain", slots=10**9)
             registry.memo.clear()
@@ -139,7 +139,7 @@
         self.assertThat(self.node("c0").quotas.spending.sent, Equals({}))
 
     def test_a_retry_takes_no_further_token(self):
-        registry = self.node("c0").floor.registry
+        registry = self.node("c0").cluster.registry
         registry.engines["q1"] = engine_facts("q1", "plain", slots=10**9)
         token = self.ask("c0")
         self.spin(20)
@@ -198,16 +198,14 @@
 
     def test_operators_see_grants_and_refusals(self):
         self.load(300, 6000)
-        descriptions = [
-            quota_requests.described(self.node(name))[LIMITED] for name in self.counters
-        ]
+        descriptions = [quota_requests.describe(self.node(name))[LIMITED] for name in self.counters]
         self.assertThat(sum(t["refused"] for t in descriptions), GreaterThan(500))
         runs = sum(request.outcome == "run" for request in self.requests)
         self.assertThat(sum(t["spent"] for t in descriptions), Equals(runs))
         for name in self.depots:
-            self.node(name).floor.registry.sections["quotas"] = SECTION
-            self.node(name).floor.registry.memo.clear()
-        depots = [quota_requests.described(self.node(n))[LIMITED] for n in self.depots]
+            self.node(name).cluster.registry.sections["quotas"] = SECTION
+            self.node(name).cluster.registry.memo.clear()
+        depots = [quota_requests.describe(self.node(n))[LIMITED] for n in self.depots]
         self.assertThat(sum(d["depot"]["given"] for d in depots), GreaterThan(runs - 1))
         notes = [
             facts for _, what, facts in self.world.hosts["c0"].notes if what == "quota-refusals"
@@ -218,7 +216,7 @@
         depot = self.node(self.depots[0])
         depot.closing = True
         ask = QuotaRequest(1, ())
-        (effect,) = quota_requests.on_ask(depot, 1e9, "x", ask)
+        (effect,) = quota_requests.on_request(depot, 1e9, "x", ask)
         self.assertThat(effect.message.granting, Equals(False))
 
 
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -78,10 +78,7 @@
 
     # Rule DENIED: a node that can't know a new route yet refused it for good.
     def test_a_node_that_may_not_know_a_route_says_when_to_retry(self):
-        for age_ms, kind in (
-            (0.9 * BOUND_MS, failures.NotFound),
-            (1.1 * BOUND_MS, failures.Stale),
-        ):
+        for age_ms, kind in ((0.9 * BOUND_MS, failures.NotFound), (1.1 * BOUND_MS, failures.Stale)):
             node = TenantNode(age_ms=age_ms)
             self.assertIsInstance(node.send("t", b"", "/added-lately/")["t"], kind)
 
@@ -199,7 +196,7 @@
             node.send("t", b"k1")
             node.configure(tenants_after)
             core = node.node
-            (reply,) = resuming.resume(core.router, NOW_MS, core.floor, NODES, "t", "")
+            (reply,) = resuming.resume(core.router, NOW_MS, core.cluster, NODES, "t", "")
             self.assertIsInstance(reply.outcome, kind)
             self.assertThat(
                 getattr(reply.outcome, "tenant", None), Equals({Attempt: "b"}.get(kind))
@@ -225,12 +222,12 @@
     def test_operators_read_fingerprints(self):
         node = TenantNode({"a": tenant("secret-key"), "b": tenant()}).node
         node.card, node.config.shards = None, SHARDS
-        node.follow.position = 1
+        node.follower.position = 1
         for what in ("layout", "engines", "zones", "why", "holds"):
             found = json.dumps(introspection.read(node, NOW_MS, {"what": what}))
             self.assertThat("secret" in found, Equals(False), what)
         section = introspection.read(node, NOW_MS, {"what": "layout"})["partners"]["floor"]
         shown = [tenants.fingerprint(tenants.digest(b"secret-key"))]
         self.assertThat(section["section"]["tenants"]["a"]["keys"], Equals(shown))
-        kept = registries.tenants(node.floor.registry)["a"]["keys"]
+        kept = registries.tenants(node.cluster.registry)["a"]["keys"]
         self.assertThat(kept, Equals(["secret-key"]))
