--- a/libs/simulation/src/simulation/judge/broken_node.py
+++ b/libs/simulation/src/simulation/judge/broken_node.py
@@ -11,7 +11,7 @@
 from placement import demand, placer
 from pulleyhitch import shard_ownership
 from routing import choice, passing, pool
-from routing.engines import FeedRequest
+from routing.engines import Ask
 from transport import failures
 from transport.effects import Reply
 
@@ -51,7 +51,7 @@
 
     def prepare(curl, ask, *more):
         headers = first.setdefault(id(curl), ask.headers)
-        kept(curl, FeedRequest(ask.method, ask.url, ask.body, headers), *more)
+        kept(curl, Ask(ask.method, ask.url, ask.body, headers), *more)
 
     passing._prepare = prepare
 
