--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -1,7 +1,7 @@
-"""Leases of shards: the leader grants and revokes them and sends holders their shards.
+"""Leases of shards: the leader assigns and revokes them and sends holders their shards.
 
 Leases are records of the log, so a shard's epoch never goes back when the leader changes.  A
-lease is granted anew when its holder was silent for too long, received nothing for as long
+lease is assigned anew when its holder was silent for too long, received nothing for as long
 (even if it still sends), restarted, or released the lease because it is stopping.  The new
 holder is the one that the old holder named, or a live counter (a node that routes requests)
 chosen by rendezvous hashing.  Time in which the leader's own process was paused doesn't count
@@ -79,7 +79,7 @@
             request.role,
             now_ms,
             request.index,
-            request.answered_ms,
+            request.answered_sent_ms,
             now_ms,
             sent_position=request.index,
         )
@@ -90,8 +90,8 @@
         request.index,
     )
     contact.role = request.role
-    if request.answered_ms > contact.answered_ms:
-        contact.answered_ms, contact.last_received_ms = request.answered_ms, now_ms
+    if request.answered_sent_ms > contact.answered_ms:
+        contact.answered_ms, contact.last_received_ms = request.answered_sent_ms, now_ms
 
 
 def discount_pause(replica, nodes, now_ms):
@@ -150,7 +150,7 @@
 
 
 def lease_tick(replica, writer, nodes, now_ms, shards):
-    """Grant the shards that need a holder, once this leader had time to hear from the nodes."""
+    """Assign the shards that need a holder, once this leader had time to hear from the nodes."""
     if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.settings.ping_ms:
         return []
     effects, shard_counts = [], _shard_counts(replica, nodes, now_ms)
@@ -167,11 +167,11 @@
         )
         if name is not None:
             shard_counts[name] += 1
-            effects += _grant(replica, writer, nodes, shard, name)
+            effects += _assign(replica, writer, nodes, shard, name)
     return effects
 
 
-def _grant(replica, writer, nodes, shard, name):
+def _assign(replica, writer, nodes, shard, name):
     shard_state = state_machine.shard_of(replica.state, shard)
     pending = [p.position for b in writer.pending for p in b.positions if p.shard == shard]
     section = state_machine.lease_section(
@@ -183,7 +183,7 @@
 
 
 def on_release(replica, writer, nodes, now_ms, message):
-    """Grant a released lease to the successor that the holder named, or to another live node."""
+    """Assign a released lease to the successor that the holder named, or to another live node."""
     shard_state = state_machine.shard_of(replica.state, message.shard)
     if (
         not writer.serving
@@ -201,7 +201,7 @@
         if message.successor in live
         else max(live, key=lambda peer: weight(message.shard, peer))
     )
-    return _grant(replica, writer, nodes, message.shard, name)
+    return _assign(replica, writer, nodes, message.shard, name)
 
 
 def on_recover(replica, writer, sender, request):
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -1,4 +1,4 @@
-"""A lease holder's view of its shard: recover it, append records, act once they are durable.
+"""A lease holder's copy of its shard: recover it, append records, act once they are durable.
 
 A holder learns of its lease from the feed, recovers the shard's content in chunks, and then
 sends records without waiting for replies.  It keeps them until the leader's durable position,
--- a/libs/replication/src/replication/state_machine.py
+++ b/libs/replication/src/replication/state_machine.py
@@ -189,7 +189,7 @@
 
 
 def lease_section(shard, epoch, holder, incarnation):
-    """Return the section that grants a shard's lease."""
+    """Return the section that assigns a shard's lease."""
     payload = json.dumps({"holder": holder, "incarnation": incarnation}).encode()
     return BatchSection(shard, epoch, LEASE, 0, (payload,))
 
