--- a/tests/test_batch_writer.py
+++ b/tests/test_batch_writer.py
@@ -156,7 +156,7 @@
         staged = BatchSection(1, 1, state_machine.RECORDS, 2, (b'{"k":"b"}',))
         leader.do(batch_writer.stage(leader.replica, leader.writer, 0.0, "old", staged))
         nodes = leases.NodeTable(contacts={"new": leases.NodeContact("n", "n.1", "counter", 0.0)})
-        leases._grant(leader.replica, leader.writer, nodes, 1, "new")
+        leases._assign(leader.replica, leader.writer, nodes, 1, "new")
         self.assertThat([s.kind for s in leader.writer.staged], Equals([state_machine.LEASE]))
         late = batch_writer.stage(leader.replica, leader.writer, 0.0, "old", staged)[0].message
         self.assertThat(late.cause, Equals("epoch"))
