--- a/libs/transport/src/transport/__init__.py
+++ b/libs/transport/src/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between processes, their encoding and connections, and the types that all parts share.
+"""Messages between processes, their encoding and connections, and types that all libraries share.
 
 `events` and `effects` are the input and output of the state machines, `failures` the typed
 errors.
--- a/libs/transport/src/transport/codec.py
+++ b/libs/transport/src/transport/codec.py
@@ -6,8 +6,8 @@
 
 Encoding of a field: an int as eight bytes, signed, big-endian; a float as an IEEE double,
 big-endian; a bool as one byte; a str (UTF-8) and bytes after their length, a tuple after its
-item count, both counts as LEB128; a dataclass as its fields.  Neighbouring fields of fixed
-size are packed together.
+item count, lengths and counts as LEB128; a dataclass as its fields.  Adjacent fields of fixed
+size are packed in one call.
 """
 
 import dataclasses
@@ -20,12 +20,12 @@
 __all__ = ["to_bytes", "from_bytes", "DecodeError"]
 
 _FIXED = {int: "q", float: "d", bool: "?"}
-_ONE_BYTE_LENGTH = 0x7F
+_MAX_ONE_BYTE_LENGTH = 0x7F
 """The greatest length that is encoded in one byte."""
-_CACHED_RECORDS = 1024
-"""How many encoded records are kept in the cache."""
-_LONGEST_LENGTH = 10
-"""How many bytes of an encoded length are read at most: enough for 64 bits."""
+_RECORD_CACHE_SIZE = 1024
+"""The greatest number of cached encodings (see `_CachedRecord`)."""
+_MAX_LENGTH_BYTES = 10
+"""The greatest number of bytes of an encoded length: enough for 64 bits."""
 
 
 class DecodeError(Exception):
@@ -44,8 +44,8 @@
     values = []
     try:
         _record(kind).read(data, 0, values)
-    except (struct.error, ValueError, LookupError, TypeError, OverflowError, MemoryError) as broken:
-        raise DecodeError(kind.__name__) from broken
+    except (struct.error, ValueError, LookupError, TypeError, OverflowError, MemoryError) as error:
+        raise DecodeError(kind.__name__) from error
     return values[0]
 
 
@@ -61,7 +61,7 @@
     if first < 0x80:
         return first, at + 1
     length = 0
-    for number in range(_LONGEST_LENGTH):
+    for number in range(_MAX_LENGTH_BYTES):
         byte = data[at + number]
         length |= (byte & 0x7F) << (7 * number)
         if byte < 0x80:
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _FixedFields:
-    """Neighbouring fields of fixed size; `get` returns one value, or several in a tuple."""
+    """Adjacent fields of fixed size; `get` returns one value, or several in a tuple."""
 
     get: typing.Callable
     packer: struct.Struct
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Bytes:
-    """A field of bytes, after its length."""
+    """A field of bytes, written after its length."""
 
     get: typing.Callable
 
@@ -108,13 +108,14 @@
 class _Text(_Bytes):
     """A str field, as its UTF-8 bytes.
 
-    Most fields are short texts, so lengths of one byte are handled here without a call.
+    Most fields are short texts, so lengths of one byte are read and written here, without a
+    call.
     """
 
     def write(self, out, value):
         encoded = self.get(value).encode()
         size = len(encoded)
-        if size <= _ONE_BYTE_LENGTH:
+        if size <= _MAX_ONE_BYTE_LENGTH:
             out.append(size)
         else:
             _write_length(out, size)
@@ -123,7 +124,7 @@
     def read(self, data, at, values):
         size = data[at]
         at += 1
-        if size > _ONE_BYTE_LENGTH:
+        if size > _MAX_ONE_BYTE_LENGTH:
             size, at = _read_length(data, at - 1)
         end = at + size
         if end > len(data):
@@ -134,7 +135,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Tuple:
-    """A tuple field; `item` reads and writes each of its items."""
+    """A tuple field, written after its item count; `item` reads and writes each of its items."""
 
     get: typing.Callable
     item: object
@@ -156,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Record:
-    """A dataclass, as its fields."""
+    """A dataclass, written as its fields; `get` returns the instance."""
 
     get: typing.Callable
     kind: type
@@ -176,16 +177,16 @@
 
 
 class _CachedRecord(_Record):
-    """A dataclass of str and bool fields inside another one, such as NodeInfo.
+    """A dataclass field with only str and bool fields of its own, such as NodeInfo.
 
-    The same few instances are written again and again, so their encodings are cached.
+    The same few instances are written repeatedly, so their encodings are cached.
     """
 
     def write(self, out, value):
         out += _cached_bytes(self.get(value))
 
 
-@functools.lru_cache(_CACHED_RECORDS)
+@functools.lru_cache(_RECORD_CACHE_SIZE)
 def _cached_bytes(value):
     return to_bytes(value)
 
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -2,7 +2,7 @@
 
 Each node listens on one address and dials the nodes that it sends to.  A connection carries
 frames from the dialling node only; the first is a Gossip message.  One thread watches all
-connections.  Messages on a broken connection are lost, as the state machines allow.
+connections.  Messages on a broken connection are lost, which the state machines tolerate.
 """
 
 import errno
@@ -30,7 +30,11 @@
 
 @dataclass
 class _Outgoing:
-    """A connection that this node dials, with the unsent bytes and when the last were sent."""
+    """A connection that this node dials.
+
+    `progress_s`: when bytes were last sent; `redial_s`: the earliest time of the next attempt
+    to connect, after the connection was lost.
+    """
 
     to: str
     sock: socket.socket = None
@@ -42,7 +46,7 @@
 
 @dataclass
 class _Incoming:
-    """A connection that another node dialled."""
+    """A connection that another node dialled; `sender` is its address, from its first message."""
 
     sock: socket.socket
     buffer: frames.FrameBuffer = field(default_factory=frames.FrameBuffer)
@@ -50,9 +54,12 @@
 
 
 class Connections:
-    """Passes received messages to `on_message(sender, message)`, log lines to `on_log(event,
-    facts)`.  `make_greeting()`: the first message of a new connection.  A connection without
-    progress for `stall_ms` is closed."""
+    """All connections of a node.
+
+    Received messages are passed to `on_message(sender, message)`, log lines to `on_log(event,
+    facts)`.  `make_greeting()` returns the first message for a new connection.  An outgoing
+    connection that has unsent bytes and makes no progress for `stall_ms` is closed.
+    """
 
     def __init__(self, address, make_greeting, on_message, on_log, stall_ms):
         self._make_greeting, self._on_message, self._on_log = make_greeting, on_message, on_log
@@ -95,7 +102,7 @@
                 self._write(conn)
 
     def close(self):
-        """Accept no more connections; open ones last until the other side closes them."""
+        """Stop the thread and the listener; open connections are not closed."""
         self._closed = True
         self._wake()
 
@@ -108,7 +115,7 @@
                 pass
 
     def _watch(self, conn):
-        """Have the watching thread wait until this connection can be written to."""
+        """Let the watching thread write to this connection once its socket is writable."""
         self._to_watch.append(conn)
         self._wake()
 
@@ -143,7 +150,7 @@
         self._on_log("connection-lost", {"to": conn.to, "cause": cause})
 
     def _write(self, conn):
-        """Write what the socket takes; the watching thread writes the rest."""
+        """Write as much as the socket accepts; the watching thread writes the rest."""
         try:
             while conn.unsent:
                 sent = conn.sock.send(conn.unsent[:_CHUNK_BYTES])
@@ -186,7 +193,7 @@
                 self._disconnect(conn, "TimeoutError")
 
     def _on_outgoing(self, conn, sock, mask):
-        """Handle readiness, unless the connection has another socket by now."""
+        """Handle readiness of `sock`, unless the connection has been dialled anew since."""
         with self._lock:
             if conn.sock is not sock:
                 return
@@ -202,6 +209,7 @@
                 self._write(conn)
 
     def _peer_closed(self, conn):
+        """Disconnect if the peer has closed the connection; received bytes are discarded."""
         try:
             if conn.sock.recv(4096):
                 return False
--- a/libs/transport/src/transport/effects.py
+++ b/libs/transport/src/transport/effects.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Save:
-    """Replace the named state file by a new version, synced."""
+    """Replace the named state file by a new version and sync it to disk."""
 
     name: str
     body: bytes
@@ -41,7 +41,7 @@
 class Install:
     """Write a snapshot at log index `index` and drop the log up to it.
 
-    `restart`: drop the log after it too, since it may differ from the leader's.
+    `restart`: drop the entries after `index` too, since they may differ from the leader's.
     """
 
     index: int
@@ -54,7 +54,7 @@
     """Append entries to the log; a Written event follows once they are synced.
 
     `inline`: write before the next effect instead of in the background.  `known`: the index up
-    to which the log is known to be synced; it is stored beside each entry.
+    to which the log is known to be synced, which is stored with each entry.
     """
 
     entries: tuple
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """Answer the LocalRequest with this `token` (from an HTTP thread, a test)."""
+    """Answer the LocalRequest that has the same `token`."""
 
     token: str
     outcome: object
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """A line for the log ring; an urgent one is written out at once."""
+    """A line for the log ring; an urgent line is also written out at once."""
 
     event: str
     facts: dict = field(default_factory=dict)
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class DumpLog:
-    """Something failed: write the log ring out."""
+    """Write the log ring out, because of a failure (`reason`)."""
 
     reason: str
 
--- a/libs/transport/src/transport/events.py
+++ b/libs/transport/src/transport/events.py
@@ -1,6 +1,7 @@
 """Events: the only input of the state machines.
 
-The process around a state machine, or the simulator, turns whatever happens into events.
+The process around a state machine, or the simulator, turns messages, timers, requests and
+results of I/O into events.
 """
 
 from dataclasses import dataclass, field
@@ -37,7 +38,7 @@
     """An engine call ended; `code` is the HTTP status, 0 if there was no response.
 
     `request_sent`: bytes of the request were sent, so that the engine may have acted on it.
-    `reused_connection`: the connection had carried calls before.
+    `reused_connection`: the connection had been used for earlier calls.
     """
 
     id: str
@@ -49,8 +50,10 @@
 
 @dataclass(frozen=True)
 class LocalRequest:
-    """A request from within the process, such as an HTTP thread's; it is answered by a Reply
-    with the same `token`."""
+    """A request from another thread of the process, such as one that serves HTTP.
+
+    It is answered by a Reply with the same `token`.
+    """
 
     token: str
     verb: str
@@ -59,6 +62,6 @@
 
 @dataclass(frozen=True)
 class Shutdown:
-    """The process is to stop in an orderly way; the state machine ends with Finished."""
+    """Shut down in an orderly way; the state machine returns Finished once that is complete."""
 
     pass
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -1,8 +1,8 @@
-"""Failures: the errors that are reported to callers and operators, one type each.
+"""Failures: the errors that are reported to callers and operators, one type for each.
 
 A failure is a frozen dataclass with a class-level `tag` (its stable name for programs) and
-`status` (the HTTP status it maps to).  `as_json` is the form in which it is sent and logged;
-the fields stand in it under their own names.
+`status` (the HTTP status it maps to).  `as_json` returns the form in which it is sent and
+logged, with the fields under their own names.
 """
 
 import dataclasses
@@ -48,7 +48,7 @@
     "NOT_RUN_STATUSES",
 ]
 
-# Statuses that promise a caller that its request has not run and never will.
+# Statuses by which a caller knows that its request has not run and never will.
 NOT_RUN_STATUSES = (401, 408, 421, 429, 503)
 
 
@@ -86,7 +86,7 @@
 
 @_failure("stamp-stale", 409)
 class StampStale(Failure):
-    """A change expected another version of the configuration than the current one."""
+    """A change was based on another version of the configuration than the current one."""
 
     expected: int
     current: int
@@ -150,7 +150,7 @@
 
 @_failure("overloaded", 503)
 class Overloaded(Failure):
-    """The request can't be served now for lack of capacity; `cause` names what is exhausted."""
+    """The request can't be served now for lack of capacity; `cause` is the exhausted resource."""
 
     retryMs: int
     cause: str
@@ -158,7 +158,7 @@
 
 @_failure("no-room", 503)
 class NoRoom(Failure):
-    """No engine has the model loaded; `cause` tells why none loads it in time."""
+    """No engine has the model loaded; `cause` is why none loads it in time."""
 
     retryMs: int
     model: str
@@ -175,7 +175,7 @@
 
 @_failure("stale", 503)
 class Stale(Failure):
-    """This node's copy of the log wasn't confirmed as current lately, so it routes no requests."""
+    """This node doesn't route: its copy of the log hasn't recently been confirmed as current."""
 
     retryMs: int
     age_ms: int
@@ -183,7 +183,7 @@
 
 @_failure("edition-ahead", 503)
 class EditionAhead(Failure):
-    """The change builds on a later edition than the current one, which may still arrive."""
+    """The change is based on a later edition than the current one, and that may still arrive."""
 
     expected: int
     current: int
@@ -191,7 +191,7 @@
 
 @_failure("no-holder", 503)
 class NoHolder(Failure):
-    """No node is known to hold the lease of the shard now."""
+    """No node is currently known to hold the lease of the shard."""
 
     retryMs: int
     shard: int
@@ -222,7 +222,7 @@
 
 @_failure("stream-cut", 502)
 class StreamCut(Failure):
-    """A stream broke off after `pieces` pieces."""
+    """A stream was cut off after `pieces` pieces of the response."""
 
     cause: str
     pieces: int
@@ -268,7 +268,7 @@
 
 @_failure("majority-lost", 503)
 class MajorityLost(Failure):
-    """The log has no majority, so the change can't be committed."""
+    """The log didn't commit a change or confirm a read in time, as without a majority."""
 
     retryMs: int
 
@@ -311,7 +311,7 @@
 
 
 def for_started_request(failure):
-    """Replaces a failure that promises that a request hasn't run, for one that may have run."""
+    """Replaces a failure by which the request hasn't run, since a started request may have run."""
     return OutcomeUnknown("leg-broken") if failure.status in NOT_RUN_STATUSES else failure
 
 
--- a/libs/transport/src/transport/frames.py
+++ b/libs/transport/src/transport/frames.py
@@ -1,9 +1,9 @@
 """Frames on a connection between processes.
 
 A frame is a fixed header (magic, kind, size, checksum) and a body encoded by `codec`, which is
-compressed if it is long and becomes shorter by it.  `receive` takes whatever bytes have arrived
-and returns the complete messages among them.  An invalid frame is returned as a BrokenFrame;
-the caller then closes the connection, which has no other consequence.
+compressed if it is long and compressing shortens it.  `receive` adds received bytes to a buffer
+and returns the messages that are complete.  An invalid frame is returned as a BrokenFrame; the
+caller then only closes the connection.
 """
 
 import dataclasses
@@ -42,9 +42,9 @@
     """The bytes of the frame that carries a message."""
     body = codec.to_bytes(message)
     kind = messages.KIND_OF[type(message)]
-    shorter = compression.compress(body)
-    if shorter is not None:
-        body, kind = shorter, kind | _COMPRESSED
+    compressed = compression.compress(body)
+    if compressed is not None:
+        body, kind = compressed, kind | _COMPRESSED
     return _HEADER.pack(_MAGIC, kind, len(body), zlib.crc32(body)) + body
 
 
@@ -58,8 +58,8 @@
             return found, BrokenFrame("magic")
         if size > LIMIT_BYTES:
             return found, BrokenFrame("oversized")
-        known = messages.TYPE_OF.get(kind & ~_COMPRESSED)
-        if known is None:
+        message_type = messages.TYPE_OF.get(kind & ~_COMPRESSED)
+        if message_type is None:
             return found, BrokenFrame("kind")
         end = _HEADER.size + size
         if len(buffer.pending) < end:
@@ -70,7 +70,7 @@
         try:
             if kind & _COMPRESSED:
                 body = compression.decompress(body, LIMIT_BYTES)
-            found.append(codec.from_bytes(known, body))
+            found.append(codec.from_bytes(message_type, body))
         except (codec.DecodeError, compression.DecompressionError):
             return found, BrokenFrame("body")
         del buffer.pending[:end]
--- a/libs/transport/src/transport/log_ring.py
+++ b/libs/transport/src/transport/log_ring.py
@@ -16,7 +16,7 @@
 
 
 class LogRing:
-    """Holds the last `size` lines of a node; `stream` is stderr by default."""
+    """Holds the last `size` lines of a node and writes them to `stream`, by default stderr."""
 
     def __init__(self, node, size=2000, stream=None):
         self._lines = collections.deque(maxlen=size)
@@ -28,7 +28,7 @@
         self._node = node
 
     def log(self, event, facts=None, dump_reason=None, urgent=False):
-        """Add a line; write it out if it is urgent, or the whole ring given a `dump_reason`."""
+        """Add a line; write it out if it is urgent, or the whole ring for a `dump_reason`."""
         line = {
             "atMs": round(time.monotonic() * 1000),
             "node": self._node,
--- a/libs/transport/src/transport/messages.py
+++ b/libs/transport/src/transport/messages.py
@@ -1,9 +1,11 @@
-"""Messages between processes: depots, which replicate the log in one Raft group, and counters,
-which route requests.  All nodes follow the committed log (the feed); those of the role that the
-settings choose hold leases of shards and append the shards' records to the log.
+"""Messages between processes.
+
+Depots replicate the log in one Raft group; counters route requests.  All nodes follow the
+committed log (the feed).  Nodes of one role, which the settings choose, hold leases of shards
+and append the shards' records to the log.
 
 `codec` writes the fields of a message in their order.  A message's number on the wire is its
-position in `_ALL`, from 1, so new messages are added at its end only.
+position in `_ALL`, from 1, so new messages are added only at the end of `_ALL`.
 """
 
 from dataclasses import dataclass
@@ -36,8 +38,12 @@
 
 @dataclass(frozen=True)
 class NodeInfo:
-    """`address` serves connections between processes, `http` HTTP requests; `incarnation` is new
-    at each start, `identity` that of a depot's data folder; `empty`: a depot without a log."""
+    """A node, as it describes itself to the others.
+
+    `address` is for connections between processes, `http` for HTTP requests; `incarnation` is
+    new at each start; `identity` is that of a depot's data folder; `empty`: a depot without a
+    log.
+    """
 
     name: str
     role: str
@@ -65,11 +71,14 @@
 @dataclass(frozen=True)
 class Gossip:
     """What the sender knows of all nodes; also the first message on every connection.
+
     `nodes`: those that the receiver may not know.  `digest`, `names_digest`: checksums of all
-    known NodeInfos and names, the sender's own included.  `silence`: a byte for each node, the
+    known NodeInfos and names, the sender's own included.  `silence`: one byte for each node, the
     time since any node last had contact with it; in the order of all sorted names if the
-    receiver is known to have the same `names_digest`, else of `nodes`.  `ages`: milliseconds
-    since each of `nodes` was first met.  `group`: empty if the receiver has the same digest."""
+    receiver is known to have the same `names_digest`, otherwise in the order of `nodes`.
+    `ages`: milliseconds since each of `nodes` was first seen.  `group`: empty if the receiver
+    is known to have the same `group_digest`.
+    """
 
     sender: NodeInfo
     wants_reply: bool
@@ -117,6 +126,8 @@
 
 @dataclass(frozen=True)
 class FeedSnapshot:
+    """A received snapshot, put together from its FeedChunks; never sent as a whole."""
+
     term: int
     index: int
     snapshot_term: int
@@ -125,7 +136,10 @@
 
 @dataclass(frozen=True)
 class BatchSection:
-    """A shard's records in a batch, from position `first` on; `kind`: see `state_machine`."""
+    """A shard's records in a batch, from position `first` on.
+
+    `kind` is one of the constants of `replication.state_machine`.
+    """
 
     shard: int
     epoch: int
@@ -145,6 +159,8 @@
 
 @dataclass(frozen=True)
 class ShardPosition:
+    """The position of a record of a shard, under the lease of this epoch."""
+
     shard: int
     epoch: int
     position: int
@@ -182,7 +198,7 @@
 
 @dataclass(frozen=True)
 class LeaseRelease:
-    """A holder that shuts down gives its lease back and proposes the next holder."""
+    """A lease holder that shuts down releases its lease and proposes the next holder."""
 
     name: str
     shard: int
@@ -192,8 +208,10 @@
 
 @dataclass(frozen=True)
 class ShardCommand:
-    """An operator's or router's request, forwarded to a shard's lease holder; `address` is where
-    the ShardCommandReply goes, with an HTTP status; the bodies are JSON."""
+    """A request of an operator or router, forwarded to a shard's lease holder.
+
+    The ShardCommandReply is sent to `address`; `body` is JSON.
+    """
 
     id: str
     shard: int
@@ -204,6 +222,8 @@
 
 @dataclass(frozen=True)
 class ShardCommandReply:
+    """The reply to the ShardCommand with this `id`: an HTTP status and a JSON body."""
+
     id: str
     status: int
     body: bytes
--- a/libs/transport/src/transport/quota_messages.py
+++ b/libs/transport/src/transport/quota_messages.py
@@ -1,4 +1,4 @@
-"""Requests of counters for rate-limit tokens of tenants, and the depots' replies.
+"""Requests of counters for tokens of tenants' rate limits, and the depots' replies.
 
 Each depot keeps token buckets for its share of every tenant's rate limit; counters take tokens
 from them in advance and spend them on requests.
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class TokenDemand:
-    """Tokens wanted for a tenant: `needed` for requests that wait now, `ahead` for later ones.
+    """Tokens requested for a tenant: `needed` for waiting requests, `ahead` for later ones.
 
     `ratePerS` and `burst` are the tenant's limit in the configuration of this `version`, which
     the requesting node follows.
@@ -30,7 +30,7 @@
     """A request for tokens of several tenants.
 
     `number` is chosen by the requesting node and copied into the reply.  Without demands the
-    request only asks whether the depot hands out tokens at all.
+    request only probes whether the depot hands out tokens.
     """
 
     number: int
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True)
 class TokenGrant:
-    """The reply to one demand: `given` tokens, with `left` still in the depot's bucket.
+    """The reply to a TokenDemand: `given` tokens; `left` remain in the depot's bucket.
 
-    `wait_ms`: the delay after which to ask again if fewer were given than needed.
+    `wait_ms`: the delay before the next request if fewer tokens were given than needed.
     """
 
     given: int
--- a/libs/transport/src/transport/rendezvous.py
+++ b/libs/transport/src/transport/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: choosing one of several names for a key, stable as names come and go."""
+"""Rendezvous hashing: chooses one of several names for each key.
+
+Adding or removing a name changes the choice only for the keys of that name.
+"""
 
 import hashlib
 
--- a/libs/transport/src/transport/replication_messages.py
+++ b/libs/transport/src/transport/replication_messages.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class BootstrapRequest:
-    """Asks a depot to agree to the founding of a group with these members."""
+    """Requests a depot's agreement to bootstrap a Raft group with these members."""
 
     group: str
     members: tuple[Member, ...]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class BootstrapReply:
-    """Whether the depot agrees to the founding of this group."""
+    """Whether the depot agrees to bootstrap this group."""
 
     group: str
     identity: str
@@ -51,8 +51,8 @@
 class VoteRequest:
     """Raft's RequestVote.
 
-    `named`: the leader chose this candidate (TransferLeadership), so voters answer although
-    they know a live leader.
+    `named`: the leader chose this candidate (TransferLeadership), so voters consider the request
+    even while they know a live leader.
     """
 
     group: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class VoteReply:
-    """The answer to a VoteRequest of the same `pre_vote`."""
+    """The reply to a VoteRequest with the same `pre_vote`."""
 
     term: int
     identity: str
@@ -87,8 +87,8 @@
 class AppendEntries:
     """Raft's AppendEntries; without entries, a heartbeat.
 
-    `to` is the identity of the receiver, `round` the number of the leader's latest heartbeat
-    round, by whose replies reads are confirmed.
+    `to` is the identity of the receiver.  `round` is the number of the leader's latest heartbeat
+    round; the replies to a round confirm reads.
     """
 
     group: str
@@ -105,10 +105,10 @@
 
 @dataclass(frozen=True)
 class AppendReply:
-    """The answer to AppendEntries.
+    """The reply to AppendEntries.
 
     If `agreed`, the follower's synced log matches the leader's up to `index`; if not, the
-    leader goes back and sends the entries after `index`.
+    leader sends again from the entry after `index`.
     """
 
     term: int
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True)
 class TransferLeadership:
-    """The leader tells the member that should follow it to start an election at once."""
+    """The leader tells the member that is to succeed it to start an election at once."""
 
     term: int
 
--- a/libs/transport/src/transport/transfer_messages.py
+++ b/libs/transport/src/transport/transfer_messages.py
@@ -1,4 +1,4 @@
-"""Snapshots sent in chunks: to replicas of the log, to followers, to a shard's lease holder."""
+"""Snapshots sent in chunks, to replicas of the log, followers and lease holders of shards."""
 
 from dataclasses import dataclass
 
