--- a/deploy/build.py
+++ b/deploy/build.py
@@ -77,7 +77,7 @@
     command += ["--target", str(DEPS), *requirements]
     if subprocess.run(command).returncode != 0:
         raise BuildError(
-            "pip could not install " + ", ".join(requirements) + "; its error stands above"
+            "pip could not install " + ", ".join(requirements) + "; see its output above"
         )
     INSTALLED_REQUIREMENTS.write_text(required)
 
--- a/libs/configuration/src/configuration/registry.py
+++ b/libs/configuration/src/configuration/registry.py
@@ -168,12 +168,16 @@
     return isinstance(failure, StampStale) and failure.expected > failure.current
 
 
-def _recorded_answer(kept):
-    if isinstance(kept, dict) and kept["status"] == 200:
-        return {**kept["told"], "again": True}, None
-    if isinstance(kept, dict):
-        return None, EarlierRefusal(kept["status"], kept["told"])
-    return {"stamp": kept, "again": True}, None
+def _recorded_answer(answer):
+    """Return (answer dict or None, Failure or None) of a change that was answered before.
+
+    The recorded answer is a dict, or only the stamp of the accepted change.
+    """
+    if isinstance(answer, dict) and answer["status"] == 200:
+        return {**answer["told"], "again": True}, None
+    if isinstance(answer, dict):
+        return None, EarlierRefusal(answer["status"], answer["told"])
+    return {"stamp": answer, "again": True}, None
 
 
 def _pack(content):
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -195,7 +195,7 @@
                 self._disconnect(conn, "TimeoutError")
 
     def _on_outgoing(self, conn, sock, mask):
-        """Handle readiness of `sock`, unless the connection has been dialled anew since."""
+        """Handle readiness of `sock`, unless the connection no longer uses this socket."""
         with self._lock:
             if conn.sock is not sock:
                 return
@@ -246,7 +246,7 @@
             incoming.sock.close()
 
     def _deliver(self, incoming, data):
-        """Pass on complete messages; returns whether to keep the connection open."""
+        """Pass complete messages to `on_message`; returns whether to keep the connection open."""
         found, broken = frames.receive(incoming.buffer, data)
         for message in found:
             if not incoming.sender:
--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -48,7 +48,7 @@
     "NOT_RUN_STATUSES",
 ]
 
-# Statuses by which a caller knows that its request has not run and never will.
+# Statuses which guarantee that the request has not run and never will.
 NOT_RUN_STATUSES = (401, 408, 421, 429, 503)
 
 
@@ -311,7 +311,7 @@
 
 
 def for_started_request(failure):
-    """Replaces a failure by which the request hasn't run, since a started request may have run."""
+    """Replaces a failure whose status means "not run", since a started request may have run."""
     return OutcomeUnknown("leg-broken") if failure.status in NOT_RUN_STATUSES else failure
 
 
--- a/libs/transport/src/transport/log_ring.py
+++ b/libs/transport/src/transport/log_ring.py
@@ -44,5 +44,5 @@
             lines, head = list(self._lines), {"why": dump_reason, "lines": len(self._lines)}
             self._lines.clear()
         self._logger.error("ring", extra={"dump": head})
-        for kept in lines:
-            self._logger.info(kept["what"], extra={"facts": kept})
+        for ring_line in lines:
+            self._logger.info(ring_line["what"], extra={"facts": ring_line})
--- a/libs/transport/src/transport/replication_messages.py
+++ b/libs/transport/src/transport/replication_messages.py
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class LeaveRequest:
-    """A member that shuts down asks the leader for permission, repeatedly until it is answered."""
+    """A member asks the leader for permission to shut down, repeatedly until it gets a reply."""
 
     group: str
     identity: str
