--- a/libs/transport/src/transport/failures.py
+++ b/libs/transport/src/transport/failures.py
@@ -183,7 +183,7 @@
 
 @_failure("edition-ahead", 503)
 class EditionAhead(Failure):
-    """The change is based on a later edition than the current one, and that may still arrive."""
+    """The change is based on a later edition than the current one; that one may still arrive."""
 
     expected: int
     current: int
@@ -268,7 +268,7 @@
 
 @_failure("majority-lost", 503)
 class MajorityLost(Failure):
-    """The log didn't commit a change or confirm a read in time, as without a majority."""
+    """The log didn't commit a change or confirm a read; it may have lost its majority."""
 
     retryMs: int
 
