--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
 """Builds target/deps: the third-party libraries and the packages of this repository.
 
 Third-party libraries are installed again only if the requirements have changed; the packages
-of the repository are copied at every build, so a change of them is never missed. Error
+of the repository are copied at every build, so that their changes are always included. Error
 messages name the Debian package that provides what the machine lacks.
 """
 
@@ -28,7 +28,7 @@
 
 
 class BuildError(Exception):
-    """The build can't be completed; the message is printed for the operator."""
+    """The build can't be completed; the message is shown to the operator."""
 
 
 def product_projects() -> list[pathlib.Path]:
@@ -77,7 +77,7 @@
     command += ["--target", str(DEPS), *requirements]
     if subprocess.run(command).returncode != 0:
         raise BuildError(
-            "pip could not install " + ", ".join(requirements) + "; its error stands above"
+            "pip could not install " + ", ".join(requirements) + "; see its output above"
         )
     INSTALLED_REQUIREMENTS.write_text(required)
 
--- a/libs/transport/src/transport/connections.py
+++ b/libs/transport/src/transport/connections.py
@@ -2,7 +2,7 @@
 
 Each node listens on one address and dials the nodes that it sends to.  A connection carries
 frames from the dialling node only; the first is a Gossip message.  One thread watches all
-connections.  Messages on a broken connection are lost, as the state machines allow.
+connections.  Messages on a broken connection are lost, which the state machines tolerate.
 """
 
 import errno
@@ -23,14 +23,18 @@
 _IN_PROGRESS = (errno.EINPROGRESS, errno.EAGAIN)
 
 
-def _split(address):
+def _host_and_port(address):
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @dataclass
 class _Outgoing:
-    """A connection that this node dials, with the unsent bytes and when the last were sent."""
+    """A connection that this node dials.
+
+    `progress_s`: when bytes were last sent; `redial_s`: the earliest time of the next attempt
+    to connect, after the connection was lost.
+    """
 
     to: str
     sock: socket.socket = None
@@ -42,7 +46,7 @@
 
 @dataclass
 class _Incoming:
-    """A connection that another node dialled."""
+    """A connection that another node dialled; `sender` is its address, from its first message."""
 
     sock: socket.socket
     buffer: frames.FrameBuffer = field(default_factory=frames.FrameBuffer)
@@ -50,15 +54,20 @@
 
 
 class Connections:
-    """Passes received messages to `on_message(sender, message)`, log lines to `on_log(event,
-    facts)`.  `make_greeting()`: the first message of a new connection.  A connection without
-    progress for `stall_ms` is closed."""
+    """All connections of a node.
+
+    Received messages are passed to `on_message(sender, message)`, log lines to `on_log(event,
+    facts)`.  `make_greeting()` returns the first message for a new connection.  An outgoing
+    connection that has unsent bytes and makes no progress for `stall_ms` is closed.
+    """
 
     def __init__(self, address, make_greeting, on_message, on_log, stall_ms):
         self._make_greeting, self._on_message, self._on_log = make_greeting, on_message, on_log
         self._stall_s = stall_ms / 1000
         self._outgoing, self._lock = {}, threading.RLock()
-        self._listener = socket.create_server(_split(address), backlog=256, reuse_port=False)
+        self._listener = socket.create_server(
+            _host_and_port(address), backlog=256, reuse_port=False
+        )
         self._listener.setblocking(False)
         self._wake_receiver, self._wake_sender = socket.socketpair()
         self._wake_receiver.setblocking(False)
@@ -95,7 +104,7 @@
                 self._write(conn)
 
     def close(self):
-        """Accept no more connections; open ones last until the other side closes them."""
+        """Stop the thread and the listener; open connections are not closed."""
         self._closed = True
         self._wake()
 
@@ -108,7 +117,7 @@
                 pass
 
     def _watch(self, conn):
-        """Have the watching thread wait until this connection can be written to."""
+        """Let the watching thread write to this connection once its socket is writable."""
         self._to_watch.append(conn)
         self._wake()
 
@@ -118,7 +127,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(2000 * self._stall_s))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        host, port = _split(conn.to)
+        host, port = _host_and_port(conn.to)
         try:
             code = sock.connect_ex((host.strip("[]"), port))
         except OSError as failed:
@@ -143,7 +152,7 @@
         self._on_log("connection-lost", {"to": conn.to, "cause": cause})
 
     def _write(self, conn):
-        """Write what the socket takes; the watching thread writes the rest."""
+        """Write as much as the socket accepts; the watching thread writes the rest."""
         try:
             while conn.unsent:
                 sent = conn.sock.send(conn.unsent[:_CHUNK_BYTES])
@@ -186,7 +195,7 @@
                 self._disconnect(conn, "TimeoutError")
 
     def _on_outgoing(self, conn, sock, mask):
-        """Handle readiness, unless the connection has another socket by now."""
+        """Handle readiness of `sock`, unless the connection no longer uses this socket."""
         with self._lock:
             if conn.sock is not sock:
                 return
@@ -202,6 +211,7 @@
                 self._write(conn)
 
     def _peer_closed(self, conn):
+        """Disconnect if the peer has closed the connection; received bytes are discarded."""
         try:
             if conn.sock.recv(4096):
                 return False
@@ -236,7 +246,7 @@
             incoming.sock.close()
 
     def _deliver(self, incoming, data):
-        """Pass on complete messages; returns whether to keep the connection open."""
+        """Pass complete messages to `on_message`; returns whether to keep the connection open."""
         found, broken = frames.receive(incoming.buffer, data)
         for message in found:
             if not incoming.sender:
--- a/libs/transport/src/transport/log_ring.py
+++ b/libs/transport/src/transport/log_ring.py
@@ -16,7 +16,7 @@
 
 
 class LogRing:
-    """Holds the last `size` lines of a node; `stream` is stderr by default."""
+    """Holds the last `size` lines of a node and writes them to `stream`, by default stderr."""
 
     def __init__(self, node, size=2000, stream=None):
         self._lines = collections.deque(maxlen=size)
@@ -28,7 +28,7 @@
         self._node = node
 
     def log(self, event, facts=None, dump_reason=None, urgent=False):
-        """Add a line; write it out if it is urgent, or the whole ring given a `dump_reason`."""
+        """Add a line; write it out if it is urgent, or the whole ring for a `dump_reason`."""
         line = {
             "atMs": round(time.monotonic() * 1000),
             "node": self._node,
@@ -44,5 +44,5 @@
             lines, head = list(self._lines), {"why": dump_reason, "lines": len(self._lines)}
             self._lines.clear()
         self._logger.error("ring", extra={"dump": head})
-        for kept in lines:
-            self._logger.info(kept["what"], extra={"facts": kept})
+        for ring_line in lines:
+            self._logger.info(ring_line["what"], extra={"facts": ring_line})
