--- a/libs/replication/src/replication/election.py
+++ b/libs/replication/src/replication/election.py
@@ -32,8 +32,9 @@
     "reset_election_timer",
 ]
 
-# A new leader assumes at most this much silence of the old one, in election timeouts, which
-# leaves the old one time to respond before it is replaced (see `reconfiguration`).
+# Limit, in election timeouts, on the silence of the old leader that a new leader assumes at its
+# election.  It leaves the old leader time to respond before it is replaced (see
+# `reconfiguration`).
 _MAX_SILENT_ELECTIONS = 3
 
 
@@ -73,7 +74,7 @@
 
 
 def _disk_stalled(replica, now_ms):
-    """Return whether the oldest unfinished write takes longer than an election timeout."""
+    """Return whether the oldest unfinished write began over an election timeout ago."""
     return bool(replica.writes) and now_ms - replica.writes[0][3] > replica.settings.election_ms
 
 
@@ -179,8 +180,9 @@
 
 
 def _initial_contact_ms(replica, now_ms, identity):
-    """Return when a new leader assumes a member's last contact: it knows only how long the
-    old leader has been silent, and assumes `now_ms` for the others."""
+    """Return the time that a new leader takes as its last contact with a member.
+
+    It knows only how long the old leader has been silent; for all others it takes `now_ms`."""
     if identity != replica.last_leader:
         return now_ms
     return max(
@@ -190,10 +192,11 @@
 
 
 def on_vote_request(replica, now_ms, sender, request):
-    """Vote by the candidate's term, log and group alone.
+    """Reply to a vote request, by the candidate's group, term and log.
 
-    Membership isn't checked here: the voter's log may lack the entry that added it.  The
-    candidate counts only votes of the members that it knows."""
+    Membership isn't checked here, since this depot's log may lack the entry that added it.  The
+    candidate counts only the votes of members that it knows.  While its leader is live, a depot
+    refuses its vote, unless the leader named the candidate as its successor."""
     if not replica.group or request.group != replica.group:
         return []
     if not request.named and has_live_leader(replica, now_ms):
@@ -238,7 +241,9 @@
 
 
 def on_transfer_leadership(replica, now_ms, message):
-    """The leader named this depot as its successor: request votes without a pre-vote."""
+    """Request votes at once, since the leader named this depot as its successor.
+
+    The pre-vote is skipped: it is treated as won with the votes of all members."""
     if (
         message.term != replica.term
         or replica.role == "leader"
--- a/libs/replication/src/replication/follower.py
+++ b/libs/replication/src/replication/follower.py
@@ -1,10 +1,11 @@
 """A node's side of the feed: it keeps a copy of the replicated state and knows how old it is.
 
 A feed follower applies log entries in order, after a snapshot if the leader's log no longer
-reaches back far enough.  Its position never goes back.  The age of its state is measured on
-its own clock, from the time when it *sent* the request whose mark it has caught up with.  A
-node that can't reach the leader asks peers, which relay entries and marks once their own
-state is newer than the request.
+reaches back far enough.  Its position never goes back.  Its requests are answered by a
+`FreshnessMark` with a log position.  The age of its state is measured on its own clock, from
+the time when it *sent* the newest request whose mark it has caught up with.  A node that can't
+reach the leader sends its requests to peers, which relay entries and marks once their own state
+is newer than the request.
 """
 
 from collections import deque
@@ -103,7 +104,7 @@
 
 
 def age(follower, now_ms):
-    """Return for how long, in ms, the state hasn't been known to be current."""
+    """Return the time, in ms, since the state was last known to be current."""
     return now_ms - follower.current_ms
 
 
@@ -160,7 +161,7 @@
 
 
 def on_mark(follower, mark):
-    """Record that the mark's position was current when the request was sent."""
+    """Record a mark: a state at its position was current when the request was sent."""
     follower.term = max(follower.term, mark.term)
     if mark.direct:
         follower.direct_ms = max(follower.direct_ms, mark.sent_ms)
@@ -185,7 +186,7 @@
 
 
 def answer_relays(follower, now_ms):
-    """Answer the relay requests that came before the time at which this state was current."""
+    """Answer the relay requests received no later than `current_ms`."""
     effects = []
     for sender, request, received_ms in follower.relay_requests:
         if follower.current_ms < received_ms:
@@ -200,7 +201,8 @@
 
 
 def _entries_or_snapshot(follower, now_ms, sender, position):
-    """Return messages with the entries after `position`, or a snapshot if some aren't kept."""
+    """Return messages with the entries after `position`, or with chunks of a snapshot if some of
+    these entries are no longer kept."""
     if follower.recent and follower.recent[0].index <= position + 1:
         follower.relay_transfers.pop(sender, None)
         due = (entry for entry in follower.recent if entry.index > position)
--- a/libs/replication/src/replication/group.py
+++ b/libs/replication/src/replication/group.py
@@ -42,9 +42,12 @@
 class GroupSettings:
     """Settings of a group; `pulleyhitch.config` derives them from the configured bounds.
 
-    `revoke_ms` is the silence after which a lease is revoked, `inline_ms` the longest time of a
-    write after which the next batch is written at once, `in_flight` the limit of batches in
-    flight, `depots` the number of voters, `placers` the role of nodes that may hold leases."""
+    `revoke_ms` is the silence of a holder after which its lease is revoked, and `keep_bytes`
+    limits the recent entries kept before a snapshot.  If the last write took at most `inline_ms`,
+    the next batch is written at once; otherwise, with `group_wait`, it waits briefly for more
+    records.  `in_flight` limits the batches in flight, `depots` is the number of voters, and
+    `placers` the role of nodes that may hold leases.  `founds`: an empty depot may take part in
+    founding a group.  `leave_ms` is the time that a depot has for a planned stop."""
 
     election_ms: float
     heartbeat_ms: float
@@ -73,9 +76,12 @@
 
 @dataclass
 class PeerProgress:
-    """What a leader knows of another depot: Raft's nextIndex and matchIndex, the last heartbeat
-    round answered, (last index, bytes) of each message in flight.  `rewound_ms`: when `next` was
-    last moved back; `leave_requested_ms`: when it asked to leave though it isn't a member."""
+    """What a leader knows of another depot.
+
+    `next` and `match` are Raft's nextIndex and matchIndex, `round` is the last heartbeat round
+    that the depot answered, and `in_flight` has (last index, bytes) of each unacknowledged
+    message.  `rewound_ms` is when `next` was last moved back, to the entry after `rewound_to`;
+    `leave_requested_ms` is when the depot last asked to leave while it wasn't a member."""
 
     address: str
     name: str
@@ -97,10 +103,11 @@
 class Replica:
     """A depot's copy of the log and its part in the group.
 
-    `log` has the entries after `base_index`: on this disk up to `synced`, known to match the
-    leader's up to `verified`, applied to `state` up to `commit`.  `writes` has unfinished writes
-    as [last index, term, done, started at], `member_entries` uncommitted memberships as
-    (index, members); `progress` and `departures` are a leader's, by identity."""
+    `log` has the entries after `base_index`.  They are synced to this disk up to `synced`, known
+    to match the leader's log up to `verified`, and applied to `state` up to `commit`.  `writes`
+    has the unfinished writes as [last index, term, synced, start time], and `member_entries` the
+    uncommitted memberships as (index, members).  `progress` and `departures`, which only a
+    leader uses, are keyed by identity."""
 
     name: str
     identity: str
@@ -181,7 +188,7 @@
 
 
 def learn_members(replica, entry):
-    """Take over the membership from an entry just added to the log, if it holds one."""
+    """Adopt the membership in an entry just added to the log, if the entry has one."""
     if b'"identity"' not in entry.body:
         return
     for section in from_bytes(Batch, entry.body).sections:
--- a/libs/replication/src/replication/leases.py
+++ b/libs/replication/src/replication/leases.py
@@ -32,9 +32,11 @@
     """What the leader knows of a node that sends it feed requests.
 
     `answered_ms` is when, by the node's clock, it sent its last request that was answered;
-    `last_received_ms` is when this last advanced, by the leader's clock.  `sent_position` is the
-    log position up to which entries were sent, and `in_flight` holds (position, bytes) of those
-    not yet confirmed.  `last_progress_ms`: when its requested position last advanced."""
+    `last_received_ms` is when `answered_ms` last advanced, by the leader's clock.
+    `sent_position` is the log position up to which entries were sent, `sent_at_request` its value
+    after the node's last request, and `in_flight` has (last position, bytes) of each message that
+    isn't confirmed yet.  `last_progress_ms` is when `requested_position` last advanced, or when
+    last no message was in flight."""
 
     address: str
     incarnation: str
@@ -95,7 +97,7 @@
 
 
 def discount_pause(replica, nodes, now_ms):
-    """After a pause of this process, move contact times forward, so it isn't taken for silence."""
+    """Move contact times forward by a pause of this process, which isn't silence of the nodes."""
     gap_ms = now_ms - nodes.tick_ms if nodes.tick_ms >= 0 else 0.0
     if gap_ms > 2 * replica.settings.heartbeat_ms:
         for node in nodes.contacts.values():
@@ -137,10 +139,10 @@
 
 
 def _choose_holder(shard_counts, shard, shards, avoid=""):
-    """Return the live node with the highest hash weight that isn't full.
+    """Return the live node with the highest hash weight among those below their share of shards.
 
-    The leader's own machine (`avoid`) is chosen only if there is no other, so that one loss
-    doesn't take both the leader and the holder."""
+    The leader's own machine (`avoid`) is chosen only if no other is live, so that the loss of
+    one machine doesn't take both the leader and the holder."""
     if not shard_counts:
         return None
     live = [name for name in shard_counts if name != avoid] or list(shard_counts)
@@ -150,7 +152,7 @@
 
 
 def lease_tick(replica, writer, nodes, now_ms, shards):
-    """Assign the shards that need a holder, once this leader had time to hear from the nodes."""
+    """Assign the shards that need a holder, once the nodes had time to contact this leader."""
     if not writer.serving or now_ms - replica.leader_since_ms < 2 * replica.settings.ping_ms:
         return []
     effects, shard_counts = [], _shard_counts(replica, nodes, now_ms)
@@ -208,8 +210,8 @@
     """Send a holder the content of its shard.
 
     Once the lease is applied, all writes of the previous holder that were in flight come
-    before it in the log.  The content therefore doesn't change until the new holder has it, and
-    is the same on every later leader."""
+    before the lease in the log.  The content therefore doesn't change until the new holder has
+    received it, and is the same on every later leader."""
     shard_state = state_machine.shard_of(replica.state, request.shard)
     if (
         not writer.serving
--- a/libs/replication/src/replication/log_replication.py
+++ b/libs/replication/src/replication/log_replication.py
@@ -34,7 +34,8 @@
 _PER_SEND = 64
 # Less than the send buffer of a connection, so that nothing is dropped on a slow link.
 _IN_FLIGHT_BYTES = 4 << 20
-# After so many revoke times of silence, no snapshot and no entries after it are kept for a peer.
+# Silence, in units of `revoke_ms`, after which no snapshot, and no entries after one, are kept
+# for a peer.
 _SILENT_REVOKES = 10
 # Heartbeats are queued behind entries on the same connection, so a message stays small.
 _BYTES_PER_SEND = 1 << 20
@@ -54,7 +55,7 @@
 
 
 def _update_progress(replica, now_ms):
-    """Keep a `PeerProgress` for each other voter; those of learners stay."""
+    """Add `PeerProgress` of new voters and remove that of former ones; learners keep theirs."""
     for identity, member in members(replica).items():
         if identity != replica.identity and identity not in replica.progress:
             replica.progress[identity] = PeerProgress(
@@ -187,10 +188,10 @@
 
 
 def _on_mismatch(replica, peer, index, now_ms):
-    """The peer's log doesn't match beyond `index`: continue from there.
+    """Handle a reply that the peer's log doesn't match beyond `index`: send again from there.
 
-    Every message in flight gets the same reply.  Only the first one counts; otherwise each
-    would cause the same entries to be sent again."""
+    Every message in flight gets the same reply.  Only the first such reply has an effect;
+    otherwise each would cause the same entries to be sent again."""
     repeated = index == peer.rewound_to and now_ms - peer.rewound_ms < replica.settings.election_ms
     if repeated and peer.next > index + 1:
         return []
--- a/libs/replication/src/replication/shard_log.py
+++ b/libs/replication/src/replication/shard_log.py
@@ -1,9 +1,9 @@
-"""A lease holder's copy of its shard: recover it, append records, act once they are durable.
+"""A lease holder's log of its shard: recovery, appends, and actions that wait for durability.
 
 A holder learns of its lease from the feed, recovers the shard's content in chunks, and then
 sends records without waiting for replies.  It keeps them until the leader's durable position,
-which is cumulative, covers them.  It sends them again to a new leader, which skips those that
-it has.  An action that depends on a record waits until its position is durable.
+which is cumulative, covers them.  It sends them again to a new leader, which skips the records
+that it already has.  An action that depends on a record waits until the record is durable.
 """
 
 from dataclasses import dataclass, field
@@ -48,7 +48,8 @@
     """A shard under one lease.
 
     `next` is the position of the next record, `sent` that of the last record sent, and `unacked`
-    holds the records after `durable`.  `released`: the lease was given back.  `refused_term`:
+    holds the records after `durable`.  `waiting` has (position, action) of each action that waits
+    for a position to be durable.  `released`: the holder released the lease.  `refused_term` is
     the newest term whose leader refused the epoch as stale."""
 
     shard: int
@@ -174,7 +175,8 @@
 
 
 def resend(log, now_ms, term, retry_ms):
-    """Schedule all unacknowledged records to be sent again, for a new or a silent leader."""
+    """Schedule all unacknowledged records to be sent again, if the leader is new or nothing was
+    sent or acknowledged for `retry_ms`."""
     if term > log.term:
         log.term, log.sent = term, log.durable
     elif log.unacked and now_ms - log.sent_ms > retry_ms:
@@ -184,8 +186,9 @@
 def checkpoint_due(log, max_records):
     """Return whether a new checkpoint is due.
 
-    It is after some number of records, or once they have as many bytes as the last checkpoint,
-    so that a restart reads little and checkpoints cost no more than the records logged."""
+    It is due after `max_records` records, or once the records have as many bytes as the last
+    checkpoint (at least `_CHECKPOINT_BYTES`), so that a restart reads little and checkpoints
+    cost no more than the records logged."""
     if log.prepared is not None:
         return False
     records = log.next - 1 - log.checkpoint_at
@@ -196,7 +199,7 @@
 def prepare_checkpoint(log, body):
     """Prepare a checkpoint with `body`, the state after all records appended so far.
 
-    It is sent once these records are durable, whatever is appended meanwhile."""
+    It is sent once these records are durable, even if more are appended meanwhile."""
     log.prepared = PreparedCheckpoint(log.next - 1, body)
     log.checkpoint_bytes, log.bytes_since_checkpoint = len(body), 0
 
