--- a/libs/replication/src/replication/batch_writer.py
+++ b/libs/replication/src/replication/batch_writer.py
@@ -49,7 +49,8 @@
     `next`, `epochs` and `connections` hold, by shard, the next expected position, the epoch
     of the newest staged lease and the connection of the holder.  `flush_ms` is a moving
     average of the time from write to commit; `turnMs` is one, by shard, of the time between
-    a `DurablePositions` message and the holder's next section.
+    a `DurablePositions` message and the holder's next section.  `recoveries` holds, by shard,
+    the transfer of its content to the holder.
     """
 
     serving: bool = False
@@ -71,10 +72,12 @@
 
 
 def open_writer(replica, writer):
-    """Start serving, once the log up to the first entry of this leader's term is applied."""
+    """Return a writer that accepts records, and keeps the counters of `writer`.
+
+    Called once the log up to the first entry of this leader's term is applied."""
     fresh = BatchWriter(serving=True, batches=writer.batches, records=writer.records)
-    for shard, part in replica.state.shards.items():
-        fresh.next[shard], fresh.epochs[shard] = part.next, part.epoch
+    for shard, shard_state in replica.state.shards.items():
+        fresh.next[shard], fresh.epochs[shard] = shard_state.next, shard_state.epoch
     return fresh
 
 
@@ -93,8 +96,8 @@
     if section.first > expected:
         return [Send(sender, _refused(replica, section, "place", expected))]
     if section.first < expected:
-        known = expected - section.first
-        if known >= len(section.records):
+        already_staged = expected - section.first
+        if already_staged >= len(section.records):
             position = replica.state.shards[section.shard].next - 1
             return [
                 Send(
@@ -105,7 +108,7 @@
                 )
             ]
         section = type(section)(
-            section.shard, epoch, section.kind, expected, section.records[known:]
+            section.shard, epoch, section.kind, expected, section.records[already_staged:]
         )
     writer.next[section.shard] = expected + len(section.records)
     writer.staged.append(section)
@@ -120,12 +123,12 @@
 def _record_turnaround(writer, now_ms, shard):
     reported_ms = writer.reported_ms.pop(shard, None)
     if reported_ms is not None:
-        old = writer.turnMs.get(shard, now_ms - reported_ms)
-        writer.turnMs[shard] = old + 0.25 * (now_ms - reported_ms - old)
+        average_ms = writer.turnMs.get(shard, now_ms - reported_ms)
+        writer.turnMs[shard] = average_ms + 0.25 * (now_ms - reported_ms - average_ms)
 
 
 def stage_internal(writer, section):
-    """Stage a section of the leader itself; a lease drops the old holder's staged sections."""
+    """Stage a section of the leader itself; a lease removes the old holder's staged sections."""
     if section.kind == state_machine.LEASE:
         writer.staged = [s for s in writer.staged if s.shard != section.shard]
         writer.epochs[section.shard] = section.epoch
--- a/libs/replication/src/replication/bootstrap.py
+++ b/libs/replication/src/replication/bootstrap.py
@@ -19,8 +19,8 @@
 
 @dataclass
 class Bootstrap:
-    """The founding that this depot proposes: the group's name, its founders, the identities
-    that agreed, and when it last sent the request."""
+    """The group that this depot proposes to found: its name and founders, the identities of
+    those that agreed, and when the request was last sent."""
 
     group: str = ""
     members: tuple = ()
@@ -37,17 +37,17 @@
 
 
 def _group_name(members):
-    """Derive a group's name from its founders, so that a repeated request, after a restart
-    or by another founder, is for the same group."""
+    """Derive a group's name from its founders, so that a request that is repeated after a
+    restart, or by another founder, is for the same group."""
     signature = "|".join(f"{m.name}={m.identity}" for m in members)
     return hashlib.blake2b(signature.encode(), digest_size=8).hexdigest()
 
 
-def tick(replica, bootstrap, now_ms, cards, known):
+def tick(replica, bootstrap, now_ms, cards, known_group):
     """Send bootstrap requests to the other founders.
 
     The first empty depot by name sends them, and so does each depot that has agreed, until a
-    leader is elected.  `known` is the name of an existing group that peers reported, if any.
+    leader is elected.  `known_group` is the name of an existing group that peers reported, or "".
     """
     if replica.group and (last_index(replica) or not replica.founders or replica.leader):
         return []
@@ -63,7 +63,7 @@
                 founders,
                 set(),
             )
-        if known not in ("", bootstrap.group):
+        if known_group not in ("", bootstrap.group):
             return []
     if now_ms - bootstrap.requested_ms < replica.settings.election_ms / 2:
         return []
@@ -76,7 +76,7 @@
     return [Send(m.address, request) for m in request.members if m.identity != replica.identity]
 
 
-def on_request(replica, bootstrap, now_ms, sender, request, known):
+def on_request(replica, bootstrap, now_ms, sender, request, known_group):
     """Agree to found the group if this depot is empty and knows of no other group."""
     if replica.identity not in {m.identity for m in request.members}:
         return []
@@ -84,7 +84,7 @@
     if (
         not replica.group
         and replica.settings.founds
-        and known in ("", request.group)
+        and known_group in ("", request.group)
         and (len(request.members) == replica.settings.depots)
     ):
         effects = _adopt(replica, now_ms, request.group, request.members)
--- a/libs/replication/src/replication/depot.py
+++ b/libs/replication/src/replication/depot.py
@@ -46,15 +46,15 @@
     leave: leaving.LeaveState | None = None
 
 
-def handle(depot, now_ms, event, cards, known):
+def handle(depot, now_ms, event, cards, known_group):
     """Handle an event and return the effects to carry out.
 
-    `cards` holds the cards of the known peers by name; `known` is the name of a group that
-    any of them reported, or "".
+    `cards` holds the NodeInfos of the known peers by name; `known_group` is the name of the
+    group that any of them reported, or "".
     """
     replica = depot.group
     if isinstance(event, Tick):
-        effects = _tick(depot, now_ms, cards, known)
+        effects = _tick(depot, now_ms, cards, known_group)
     elif isinstance(event, Written):
         if replica.role == "leader":
             depot.writer.last_write_ms = event.took_ms
@@ -63,16 +63,16 @@
         depot.leave = depot.leave or leaving.begin(replica, now_ms)
         effects = []
     elif isinstance(event, Received):
-        effects = _on_message(depot, now_ms, event.sender, event.message, known)
+        effects = _on_message(depot, now_ms, event.sender, event.message, known_group)
     else:
         effects = []
     return effects + _follow_up(depot, now_ms)
 
 
-def _tick(depot, now_ms, cards, known):
+def _tick(depot, now_ms, cards, known_group):
     replica = depot.group
     leases.discount_pause(replica, depot.nodes, now_ms)
-    effects = bootstrap.tick(replica, depot.founding, now_ms, cards, known)
+    effects = bootstrap.tick(replica, depot.founding, now_ms, cards, known_group)
     effects += election.tick(replica, now_ms)
     if replica.role == "leader":
         leaving.update_departures(replica, now_ms)
@@ -84,7 +84,7 @@
     return effects
 
 
-def _on_message(depot, now_ms, sender, message, known):
+def _on_message(depot, now_ms, sender, message, known_group):
     replica = depot.group
     if isinstance(message, m.AppendEntries):
         return log_following.on_entries(replica, now_ms, sender, message)
@@ -101,7 +101,7 @@
     if isinstance(message, m.TransferLeadership):
         return election.on_transfer_leadership(replica, now_ms, message)
     if isinstance(message, m.BootstrapRequest):
-        return bootstrap.on_request(replica, depot.founding, now_ms, sender, message, known)
+        return bootstrap.on_request(replica, depot.founding, now_ms, sender, message, known_group)
     if isinstance(message, m.BootstrapReply):
         return bootstrap.on_reply(replica, depot.founding, now_ms, message)
     if isinstance(message, m.LeaveRequest):
@@ -144,7 +144,9 @@
 
 
 def _follow_up(depot, now_ms):
-    """Finish any event: start or stop serving, write a batch, report and feed new commits."""
+    """Complete the handling of any event.
+
+    Start or stop serving, write a batch, report new durable positions and feed new commits."""
     replica = depot.group
     effects: list = []
     if replica.role != "leader":
@@ -170,7 +172,7 @@
 
 
 def describe(depot):
-    """Return the state of this depot that operators may see."""
+    """Return the state of this depot as operators see it."""
     replica, writer = depot.group, depot.writer
     return {
         "group": replica.group,
--- a/libs/replication/src/replication/disk.py
+++ b/libs/replication/src/replication/disk.py
@@ -30,7 +30,7 @@
 
 _SEGMENT = re.compile(r"log\.(\d{12})$")
 # The header of a snapshot file: a magic number and the number of the first valid segment.
-# Older segments are void from the moment the file is in place, even if they are removed
+# Older segments are invalid from the moment the file is in place, even if they are removed
 # later, or if a loss of power restores them.
 _SNAPSHOT = struct.Struct(">4sQ")
 _SNAPSHOT_MAGIC = b"PHS2"
@@ -50,7 +50,7 @@
 
 
 def load_entries(folder, after, first_segment=0):
-    """Return the complete entries after index `after`; a later write of an index wins.
+    """Return the complete entries after index `after`; the last write of an index is used.
 
     Data that a killed process wrote but didn't sync can be read now, but would be gone after
     a loss of power, so each segment is synced before its entries are used.  Two writes in
--- a/libs/replication/src/replication/feed.py
+++ b/libs/replication/src/replication/feed.py
@@ -3,7 +3,7 @@
 A node sends requests with the position up to which it has the log.  The leader pushes the
 entries after it, or a snapshot if the log no longer reaches back that far.  Each request is
 answered by a mark once a majority confirmed a heartbeat round that began after the request
-came: all entries up to the mark's position were current when the node asked.
+came: the mark's position covers all entries that were committed when the node sent the request.
 """
 
 from dataclasses import dataclass, field
@@ -17,19 +17,19 @@
 __all__ = ["PendingRequests", "on_request", "answer_requests", "push"]
 
 _PER_SEND = 128
-# Shortest time, as a part of the heartbeat interval, between two pushes to a node that can't
+# Shortest time, as a fraction of the heartbeat interval, between two pushes to a node that can't
 # hold a shard, and between two heartbeat rounds for waiting requests.
 _PACE = 0.25
 _BYTES_PER_SEND = 1 << 20
 _WINDOW_BYTES = 2 << 20
-# 8 Mbit/s: data on a link of this rate is not taken to be lost before it can have arrived.
+# 8 Mbit/s: unconfirmed data counts as lost only after the time that a link of this rate needs.
 _SLOWEST_BYTES_PER_MS = 1000
 
 
 @dataclass
 class PendingRequests:
-    """Requests that wait for their round, as (sender, request, number of the round), and when
-    a round last began for them."""
+    """Feed requests that wait for a heartbeat round, as (sender, request, number of the round),
+    and when a round was last started for such requests."""
 
     waiting: list = field(default_factory=list)
     round_ms: float = float("-inf")
@@ -72,8 +72,8 @@
 def answer_requests(replica, requests, now_ms):
     """Answer the requests whose round is confirmed; start another round if some remain."""
     round_ = log_replication.confirmed_round(replica)
-    confirmed = [waiting for waiting in requests.waiting if waiting[2] <= round_]
-    requests.waiting = [waiting for waiting in requests.waiting if waiting[2] > round_]
+    confirmed = [pending for pending in requests.waiting if pending[2] <= round_]
+    requests.waiting = [pending for pending in requests.waiting if pending[2] > round_]
     effects = [
         Send(sender, FreshnessMark(request.sent_ms, replica.term, replica.commit, True))
         for sender, request, _ in confirmed
@@ -89,7 +89,7 @@
 def _start_round(replica, requests, now_ms):
     """Start a round for the waiting requests, unless one is in progress or began recently.
 
-    Hundreds of nodes send requests continuously; one round answers all that came before it."""
+    Hundreds of nodes send requests continuously; one round confirms all that came before it."""
     if log_replication.confirmed_round(replica) < replica.round:
         return []
     due_ms = requests.round_ms + _PACE * replica.settings.heartbeat_ms
--- a/libs/replication/src/replication/feed_snapshots.py
+++ b/libs/replication/src/replication/feed_snapshots.py
@@ -11,7 +11,7 @@
 # Limit on concurrent transfers; each has up to a window of chunks in flight.
 _MAX_TRANSFERS = 16
 # After this many ping intervals of silence a follower's transfer is dropped.  The follower
-# keeps the bytes that it has, and continues there if the same snapshot is sent to it again.
+# keeps the bytes that it has; if the same snapshot is sent again, the transfer resumes there.
 _SILENT_PINGS = 40
 # The state begins here in a snapshot file, after the entry's index and term.
 _STATE_OFFSET = 16
--- a/libs/replication/src/replication/leaving.py
+++ b/libs/replication/src/replication/leaving.py
@@ -1,9 +1,10 @@
-"""The planned stop of a member: it asks the leader whether it may stop, and stops when it may.
+"""The planned stop of a member: it requests permission from the leader and stops once it has it.
 
-The leader lets a member stop in two cases.  Either it was replaced, and the others committed
-its removal; or no successor is available, and a majority without it runs and has all that it
-may have been counted for: it then stays a member.  A leader that is to stop transfers
-leadership first.  A member that gets no reply stops at its deadline.
+The leader permits a member to stop in two cases.  Either the member was replaced, and the others
+committed its removal.  Or no successor is available, and a majority without the member runs and
+has every entry for whose commit the member may have been counted; it then stays a member.  A
+leader that is to stop transfers leadership first.  A member that gets no reply stops at its
+deadline.
 """
 
 from dataclasses import dataclass
@@ -25,8 +26,8 @@
     "update_departures",
 ]
 
-# The part of the time until its deadline for which a leader waits for a successor; after it,
-# the leader transfers leadership without one.
+# The fraction of the time until its deadline for which a leader that is to stop waits for a
+# successor; after it, the leader transfers leadership without one.
 _SUCCESSOR_WAIT_PART = 0.5
 
 
@@ -60,7 +61,9 @@
 
 
 def tick(replica, leave, now_ms):
-    """Ask the leader for leave, or act as leader; `Finished` is repeated until the process ends."""
+    """Request permission to stop, or prepare the stop as leader.
+
+    Once the depot may stop, `Finished` is returned at each tick until the process ends."""
     if leave.done:
         return [Finished()]
     if not replica.group:
@@ -79,10 +82,10 @@
 
 
 def _leader_tick(replica, leave, now_ms):
-    """Wait for an available successor, which is then added, and transfer leadership.
+    """Wait until an available successor was added, then transfer leadership.
 
     Nothing is decided right after an election: learners haven't made contact yet, and members
-    that are leaving haven't said so."""
+    that are leaving haven't sent their requests to this leader yet."""
     replica.departures.setdefault(replica.identity, Departure(now_ms))
     voters, target_size = members(replica), replica.settings.depots
     waiting = now_ms < leave.started_ms + _SUCCESSOR_WAIT_PART * (
@@ -127,7 +130,7 @@
 
 
 def on_request(replica, now_ms, sender, message):
-    """As leader, record that a member asks to leave, and reply once it may stop."""
+    """As leader, record a member's request to leave, and reply once the member may stop."""
     if (
         replica.role != "leader"
         or message.group != replica.group
@@ -152,7 +155,9 @@
 
 
 def update_departures(replica, now_ms):
-    """As leader, drop departures of depots that returned or are no members; recount the rest."""
+    """As leader, drop departures of depots that returned or are no longer members.
+
+    For the others, decide again whether their acknowledgements count."""
     for identity, departure in list(replica.departures.items()):
         peer = replica.progress.get(identity)
         returned = (
@@ -167,9 +172,9 @@
 def _update_counting(replica, now_ms, identity, departure):
     """Decide whether a leaving member's acknowledgements count.
 
-    They don't as long as a majority of other members runs whose own acknowledgements count.
-    If two leaving members were left out on the strength of each other's acknowledgements, no
-    entry could be committed."""
+    They don't count as long as other members, whose own acknowledgements count, run and form a
+    majority.  If each of two leaving members was left out because the other one counts, no entry
+    could be committed."""
     counted = [
         other
         for other in _other_holders(replica, now_ms, identity, 0)
@@ -182,10 +187,11 @@
 
 
 def _can_spare(replica, now_ms, identity, departure):
-    """Return whether a majority without this member has the entries that it was counted for.
+    """Return whether a majority without this member has the entries for whose commit the member
+    was counted.
 
-    Only contact since the member first asked to leave counts, since the loss of another member
-    just before may not be known yet."""
+    Other members count only if they were in contact after this one first asked to leave, since
+    the loss of one of them just before may not be known yet."""
     if departure.uncounted_from is None:
         return False
     holding = [
@@ -238,7 +244,7 @@
 
 
 def _successor_available(replica, now_ms):
-    """Return whether a learner is in contact that may become a member."""
+    """Return whether some learner that may become a member is in contact."""
     return any(
         peer.learner
         and identity not in replica.departures
--- a/libs/replication/src/replication/log_compaction.py
+++ b/libs/replication/src/replication/log_compaction.py
@@ -9,7 +9,8 @@
 
 # Entries kept before a snapshot, for members and feed followers that are a little behind.
 _KEPT_ENTRIES = 256
-# Limit on the entries kept while a snapshot is being sent; a machine has some 300 MB in all.
+# Limit on the entries kept while a snapshot is being sent; a machine has some 300 MB of memory
+# in all.
 _RETAINED_BYTES = 16 << 20
 
 
--- a/libs/replication/src/replication/reconfiguration.py
+++ b/libs/replication/src/replication/reconfiguration.py
@@ -1,12 +1,12 @@
 """Membership changes, which the leader makes one at a time.
 
-A depot that isn't a member is replicated to as a learner.  It replaces a member that leaves
-or was silent for too long.  No further voters are added, so spare depots don't enlarge the
-majority.
+A depot that isn't a member receives the log as a learner.  A learner replaces a member that
+leaves or was silent for too long.  No further voters are added, so spare depots don't enlarge
+the majority.
 
 A member that leaves but still runs is removed after its successor was added, because four
 voters tolerate the loss of one, as three do, while two tolerate none.  A silent member is
-removed first: if it still counted, the loss of the new member would leave no majority.
+removed first: if it were still a member, the loss of the new member would leave no majority.
 """
 
 from collections import Counter
@@ -94,7 +94,7 @@
 
 
 def _remove_surplus(replica, now_ms):
-    """With too many voters, remove one that was replaced."""
+    """With too many voters, remove one that leaves or was lost."""
     voters = members(replica)
     if len(voters) <= replica.settings.depots:
         return []
@@ -112,7 +112,7 @@
 
 
 def _replace(replica, now_ms, depots):
-    """In a full group, replace a member that leaves or was lost by a successor."""
+    """In a full group, let a successor replace a member that leaves or was lost."""
     voters = members(replica)
     successors = _successors(replica, now_ms, depots)
     if len(voters) != replica.settings.depots or not successors:
@@ -170,7 +170,7 @@
 
 
 def _is_responsive(replica, now_ms, identity):
-    """Return whether a member acknowledged something to this leader and was in contact recently.
+    """Return whether a member acknowledged entries to this leader and was in contact recently.
 
     Contact alone doesn't suffice: a new leader assumes it for all members at its election."""
     if identity == replica.identity:
--- a/libs/replication/src/replication/snapshot_receiving.py
+++ b/libs/replication/src/replication/snapshot_receiving.py
@@ -1,4 +1,4 @@
-"""A replica's side of snapshot transfer: it receives its leader's snapshot and installs it."""
+"""A follower's side of snapshot transfer: it receives the leader's snapshot and installs it."""
 
 from transport.effects import Send
 from transport.replication_messages import SnapshotPart
--- a/libs/replication/src/replication/snapshot_sending.py
+++ b/libs/replication/src/replication/snapshot_sending.py
@@ -1,4 +1,4 @@
-"""A leader's side of snapshot transfer, for replicas whose log ends before its own begins."""
+"""A leader's side of snapshot transfer, for replicas that lack entries it no longer has."""
 
 from transport.effects import Send
 from transport.messages import ReplicaChunk
--- a/libs/replication/src/replication/snapshot_transfer.py
+++ b/libs/replication/src/replication/snapshot_transfer.py
@@ -59,7 +59,7 @@
 
 
 def probe(outgoing):
-    """Return an empty chunk, whose acknowledgement tells how much the receiver holds."""
+    """Return an empty chunk, whose acknowledgement contains how much the receiver holds."""
     outgoing.sequence += 1
     return Chunk(outgoing.snapshot.id, outgoing.sequence, outgoing.next_offset, b"")
 
@@ -87,7 +87,7 @@
 
 
 def on_ack(outgoing, ack):
-    """Handle an acknowledgement; True once the receiver holds the complete snapshot."""
+    """Handle an acknowledgement; return whether the receiver holds the complete snapshot."""
     matches = ack.snapshot == outgoing.snapshot.id
     if not matches or not outgoing.acked_sequence <= ack.sequence <= outgoing.sequence:
         return False
@@ -103,7 +103,7 @@
 
 @dataclass
 class Incoming:
-    """A receiver's part of the one snapshot that it receives at a time."""
+    """The bytes received so far of a snapshot; a receiver accepts one snapshot at a time."""
 
     snapshot: SnapshotId | None = None
     body: bytearray = field(default_factory=bytearray)
--- a/libs/replication/src/replication/versioned_files.py
+++ b/libs/replication/src/replication/versioned_files.py
@@ -16,7 +16,7 @@
 
 
 class DiskError(Exception):
-    """The data folder can't be used; `failure` says why."""
+    """The data folder can't be used; `failure` is the cause."""
 
     def __init__(self, failure):
         super().__init__(failure.tag)
@@ -24,7 +24,7 @@
 
 
 def sync_folder(folder):
-    """Make the names in a folder durable."""
+    """Sync a folder, so that created, renamed and removed names are durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
