--- a/libs/membership/src/membership/greetings.py
+++ b/libs/membership/src/membership/greetings.py
@@ -1,8 +1,8 @@
-"""Greetings, the gossip messages in which a node sends a peer what it knows of other nodes.
+"""Greetings: `Gossip` messages in which a node sends a peer what it knows of other nodes.
 
-To keep them small, a peer that knows the same names gets only the cards learned recently, and
-a peer that knows the same membership of the depots doesn't get it again.  Every greeting has
-one byte for each node that tells how long the node has been silent.
+To keep greetings small, a peer that knows the same names gets only the cards (`NodeInfo`)
+learned recently, and a peer that knows the same membership of the depots doesn't get it again.
+Every greeting has one byte for each node: how long the node has been silent.
 """
 
 import math
@@ -14,25 +14,25 @@
 __all__ = ["LONGEST_SILENCE", "NO_GROUP", "SILENCE_STEPS", "greeting"]
 
 NO_GROUP = GroupCard("", 0, 0, "", ())
-# Silence is sent in steps; so many make up the time after which a node counts as lost.
+# Silence is sent in steps.  This many are the time after which a node counts as lost (`lost_ms`).
 SILENCE_STEPS = 64
 # The largest number of steps that fits into a byte.
 LONGEST_SILENCE = 255
 # Gossip intervals for which a card counts as recently learned.
 _RECENT_INTERVALS = 40
-# All cards are sent every so many turns.
+# In every turn whose number is a multiple of this, replies carry all cards.
 _FULL_EVERY_TURNS = 50
-# Turns for which a changed membership is sent to peers whose knowledge of it is unknown.
+# Turns for which a changed membership is sent to peers that haven't sent a digest of theirs.
 _NEW_GROUP_TURNS = 5
 
 
-def greeting(peers, answer, now_ms, to=None):
-    """Return the greeting for a peer at address `to`; `answer` asks it to reply.
+def greeting(peers, wants_reply, now_ms, to=None):
+    """Return the greeting for a peer at address `to`; `wants_reply` requests a reply.
 
     It has this node's card and how long each node has been silent.  A peer that knows the same
-    names also gets the recently learned cards, any other peer all cards.  A peer that never
-    sent a greeting is taken to know the same names: its reply, or the next greeting, brings
-    what either side lacks."""
+    names but other cards also gets the recently learned cards; one that knows other names gets
+    all cards.  A peer that never sent a greeting is assumed to know the same names: with its
+    reply, or the next greeting, each side gets what it lacks."""
     summary = summaries.of(peers)
     own_digest, own_names_digest = summary.digest, summary.names_digest
     peer_digest, peer_names_digest = peers.digests.get(to, (0, own_names_digest))
@@ -41,15 +41,15 @@
     cards_to_send = (
         ()
         if peer_digest == own_digest
-        else _recent_names(peers, now_ms, answer)
+        else _recent_names(peers, now_ms, wants_reply)
         if same_names
         else names
     )
     return Gossip(
         peers.card,
-        answer,
+        wants_reply,
         tuple(peers.cards[n] for n in cards_to_send),
-        peers.group if _needs_group(peers, answer, to) else NO_GROUP,
+        peers.group if _needs_group(peers, wants_reply, to) else NO_GROUP,
         _silence(peers, now_ms, names),
         own_digest,
         own_names_digest,
@@ -58,23 +58,24 @@
     )
 
 
-def _needs_group(peers, answer, to):
-    """Return whether the peer gets the depots' membership: if it knows a different one.
+def _needs_group(peers, wants_reply, to):
+    """Return whether the peer needs the depots' membership, since it knows a different one.
 
-    A peer that never sent a greeting will say in its reply which one it knows.  It gets the
-    membership only if this changed recently, or if no reply is requested."""
+    The reply of a peer that never sent a greeting will have the digest of the membership that
+    it knows.  Such a peer gets the membership now only if the membership changed recently, or
+    if no reply is requested."""
     peer_group_digest = peers.group_digests.get(to)
     if peer_group_digest is None:
-        return not answer or peers.turn - peers.group_turn < _NEW_GROUP_TURNS
+        return not wants_reply or peers.turn - peers.group_turn < _NEW_GROUP_TURNS
     return peer_group_digest != summaries.group_digest(peers.group)
 
 
-def _recent_names(peers, now_ms, answer):
+def _recent_names(peers, now_ms, wants_reply):
     """Return the names whose cards were learned recently.
 
-    Now and then return all names, in case messages were lost, but only in a reply, since only
-    then the peer's digest is up to date."""
-    if not answer and peers.turn % _FULL_EVERY_TURNS == 0:
+    In every `_FULL_EVERY_TURNS`-th turn all names are returned, in case messages were lost, but
+    only for a reply, since only then is the peer's digest up to date."""
+    if not wants_reply and peers.turn % _FULL_EVERY_TURNS == 0:
         return list(peers.cards)
     return [
         n
@@ -84,7 +85,7 @@
 
 
 def _silence(peers, now_ms, names):
-    """Return how long each of `names` has been silent, as one byte each, in steps."""
+    """Return how long each of `names` has been silent: one byte each, in steps, rounded up."""
     silence, alive_ms, lost_ms = bytearray(), peers.alive_ms, peers.lost_ms
     for name in names:
         silent_ms = 0.0 if name == peers.card.name else now_ms - alive_ms.get(name, -1e9)
--- a/libs/membership/src/membership/peer_table.py
+++ b/libs/membership/src/membership/peer_table.py
@@ -1,10 +1,11 @@
 """The peer table: the cards (name, role, address) of other nodes, spread by gossip.
 
-A node sends greetings to its seeds until it knows the depots' group, and then to a few peers
-chosen by rendezvous hashing, which it watches.  Greetings (see `greetings`) carry cards and the
-depots' membership; the membership with the highest term and stamp wins, and a node never goes
-back to an older one.  Learned addresses are kept, so changed seeds matter only to nodes that
-start.  Of two cards of one node, the one first seen later is the current one.
+A node sends greetings to its seeds until it knows the depots' group, and regularly to a few
+peers chosen by rendezvous hashing, which it watches.  Greetings (see `greetings`) carry cards
+and the depots' membership.  The membership with the highest term and stamp (the log index of
+the entry that set it) is adopted, and a node never goes back to an older one.  Learned addresses
+are kept, so changed seeds matter only to nodes that start.  Of two cards of one node, the one
+first seen later is the current one.
 """
 
 import random
@@ -29,8 +30,9 @@
     "lost",
 ]
 
-# After so many turns in which all watched peers knew the same cards, greetings are sent less
-# often: so many gossip intervals are added between them.
+# After more than this many turns in a row in which all watched peers knew the same cards,
+# greetings are sent less often: `_SETTLED_EXTRA_INTERVALS` gossip intervals are added between
+# them.
 _SETTLED_TURNS = 5
 _SETTLED_EXTRA_INTERVALS = 2.0
 
@@ -39,9 +41,10 @@
 class PeerTable:
     """What a node knows of the others, by name or, for the digests, by address.
 
-    `last_contact_ms` is the last greeting from a node itself, `alive_ms` the last time that any
-    node is known to have had contact with it.  `first_seen_ms` is when a card was first seen by
-    any node, `learned_ms` when it came here."""
+    `last_contact_ms` is the time of the last greeting from a node itself, `alive_ms` the last
+    time that any node is known to have had contact with it.  `first_seen_ms` is when a card was
+    first seen by any node, `learned_ms` when this node received it.  `turn` counts the rounds of
+    greetings, and `group_turn` is the turn in which a changed `group` was first noticed."""
 
     card: NodeInfo
     seeds: tuple
@@ -75,7 +78,8 @@
 
 
 def lost(peers, now_ms, name, incarnation):
-    """Return whether a node's process ended: it restarted, or was silent for too long."""
+    """Return whether a node's process counts as ended: the node restarted, or was silent for
+    too long."""
     card = peers.cards.get(name)
     if card is None or name == peers.card.name:
         return card is not None and incarnation != card.incarnation
@@ -118,7 +122,7 @@
 
 
 def on_greet(peers, now_ms, sender, message):
-    """Learn from a greeting, and reply if it asks for a reply."""
+    """Learn from a greeting, and reply if a reply is requested."""
     effects = []
     if message.sender.name and message.sender.name != peers.card.name:
         effects += _learn_card(peers, now_ms, message.sender, None)
@@ -156,8 +160,9 @@
 def _learn_card(peers, now_ms, card, first_seen_ms):
     """Learn a card, from its own node (`first_seen_ms` is None) or from another one.
 
-    A node's own card replaces the known one.  A card from another node is taken only if none is
-    known, or if it was first seen later and the node has been silent here."""
+    A card from its own node replaces the known one.  A card from another node is adopted only if
+    none is known, or if it was first seen later and this node had no recent greeting from the
+    card's own node."""
     known_card, known_since_ms = (
         peers.cards.get(card.name),
         peers.first_seen_ms.get(card.name, -1e12),
@@ -223,7 +228,8 @@
 
 
 def depot_addresses(peers):
-    """Return the addresses of all known depots, to ask when the leader is silent."""
+    """Return the addresses of all known depots, which a node can contact if the leader is
+    silent."""
     addresses = [m.address for m in peers.group.members] + [
         c.address for c in peers.cards.values() if c.role == "depot"
     ]
--- a/libs/membership/src/membership/summaries.py
+++ b/libs/membership/src/membership/summaries.py
@@ -47,8 +47,8 @@
 def of(peers):
     """Return the summary of a peer table's current cards, from its cache if they are unchanged.
 
-    The comparison is fast, since cards that are the same objects compare at once; code that
-    changes the table need not invalidate the cache."""
+    Code that changes the table need not invalidate the cache: the cards are compared at each
+    call, which is fast, since identical objects compare at once."""
     summary = peers.summary
     if summary is None or summary.card != peers.card or summary.cards != peers.cards:
         summary = peers.summary = make(peers.card, peers.cards)
@@ -57,12 +57,12 @@
 
 @functools.lru_cache(maxsize=64)
 def group_digest(group):
-    """Return a digest of a membership; never 0, which stands for an unknown one."""
+    """Return a digest of a membership; never 0, which stands for an unknown membership."""
     return _crc(group) or 1
 
 
 def weight(watcher, name):
-    """Return the rendezvous weight by which a node chooses the peers that it watches."""
+    """Return the rendezvous weight of a peer; a node watches those with the lowest weights."""
     return hashlib.blake2b(f"{watcher}>{name}".encode(), digest_size=8).digest()
 
 
