--- a/libs/placement/src/placement/cluster_state.py
+++ b/libs/placement/src/placement/cluster_state.py
@@ -1,4 +1,4 @@
-"""The state that a node derives from the log feed: registry and ledgers.
+"""The registry and the ledgers, as a node derives them from the replicated log.
 
 Holds the registry of shard 0 and the ledgers of the service shards, and updates them with the
 log sections that a follower has applied.
@@ -34,8 +34,9 @@
 
 @dataclass
 class ClusterState:
-    """`changes` counts the updates that changed anything; `ledger_change` is the latest update,
-    or None if it changed more than ledgers."""
+    """The registry and the ledgers by shard.  `shards`: number of shards; `reader`: reads the
+    platform's configuration; `changes`: number of updates that changed anything; `ledger_change`:
+    the latest update, or None if it changed more than ledgers."""
 
     shards: int
     zones: tuple = ()
@@ -70,18 +71,18 @@
 def _rebuild(state, log_state):
     state.registry = registries.Registry(zonesKnown=state.zones, reader=state.reader)
     state.ledgers = {}
-    for shard, part in log_state.shards.items():
+    for shard, stored in log_state.shards.items():
         if shard == 0:
-            state.registry = registries.load(part.checkpoint, state.zones, state.reader)
-            registries.replay(state.registry, part.records)
+            state.registry = registries.load(stored.checkpoint, state.zones, state.reader)
+            registries.replay(state.registry, stored.records)
         else:
-            state.ledgers[shard] = ledgers.load(part.checkpoint)
-            for record in part.records:
+            state.ledgers[shard] = ledgers.load(stored.checkpoint)
+            for record in stored.records:
                 ledgers.apply(state.ledgers[shard], record)
 
 
 def ledger_of(state, shard):
-    """The ledger of a shard, a new and empty one if there is none yet."""
+    """The ledger of a shard; a new, empty one if there is none yet."""
     found = state.ledgers.get(shard)
     if found is None:
         found = state.ledgers[shard] = ledgers.Ledger()
@@ -89,14 +90,16 @@
 
 
 def engines_with(state, service, item):
-    """Engines that may get requests for an item (or any request, for a plain service).  Suspect
-    engines are left out, unless that would leave a plain service without engines."""
+    """Engines that may get requests for an item, or any request if `item` is empty (a plain
+    service).  Suspect engines are left out, unless that leaves a plain service without engines."""
     ledger = ledger_of(state, registry_view.shard_of(service, state.shards))
     engines = state.registry.engines
     named = [name for name, e in engines.items() if e["service"] == service]
     if item:
-        held = ledger.engines
-        named = [n for n in named if item in held.get(n, ()) and ledgers.is_loaded(ledger, n, item)]
+        entries = ledger.engines
+        named = [
+            n for n in named if item in entries.get(n, ()) and ledgers.is_loaded(ledger, n, item)
+        ]
     found = [
         engines[name]
         for name in sorted(named)
@@ -113,9 +116,9 @@
     for name in engines if names is None else names & engines.keys():
         engine = engines[name]
         ledger = ledger_of(state, registry_view.shard_of(engine["service"], state.shards))
-        held = ledger.engines.get(engine["name"], {}).values()
+        entries = ledger.engines.get(engine["name"], {}).values()
         if engine["name"] in ledger.incarnations and (
-            not engine["roomMb"] or any(i["state"] == "loaded" for i in held)
+            not engine["roomMb"] or any(entry["state"] == "loaded" for entry in entries)
         ):
             found.append(engine)
     return found
--- a/libs/placement/src/placement/engine_calls.py
+++ b/libs/placement/src/placement/engine_calls.py
@@ -1,10 +1,10 @@
 """Calls to engines, and what their responses prove about orders.
 
-The response to the first call of an order says whether the engine took the order.  The call of
-an order that was taken is repeated around the time when it should be done: an engine that holds
-the item confirms that at once, earlier than its next report.  Either call may reach the engine
-long after it has timed out here, so both name the count of orders that the engine must have
-taken before.
+The response to the first call of an order shows whether the engine took the order.  The call of
+an order that was taken is repeated around the time when the order should be done: an engine that
+holds the item confirms that at once, earlier than in its next report.  Either call may reach the
+engine long after it has timed out here, so both name the count of orders that the engine must
+have taken before.
 """
 
 from transport.effects import EngineCall, Wake
@@ -15,15 +15,18 @@
 
 __all__ = ["call", "repeats_due", "on_order_response", "order_body"]
 
-_ADAPTER_LOAD_MS = 15.0
-# The status by which an engine rejects an order that was meant for another engine.
+# Expected duration of adapter loads and of unloads.
+_SHORT_ORDER_MS = 15.0
+# The status code with which an engine refuses an order that was meant for another engine.
 _MISDIRECTED = 421
 _MIN_REPEAT_PAUSE_MS = 20.0
-# Factor from each pause between two repeated calls to the next.
+# Factor by which the pause between repeated calls grows.
 _REPEAT_BACKOFF = 1.4
+# Expected duration of a service's model loads until the first one has ended.
 _DEFAULT_LOAD_MS = 500.0
-# Of the expected duration of an order: when its call is first repeated, and the first pause.
-_FIRST_REPEAT, _FIRST_PAUSE = 0.7, 0.05
+# When the call of an order is first repeated, and the first pause after that, as shares of the
+# order's expected duration.
+_FIRST_REPEAT_SHARE, _FIRST_PAUSE_SHARE = 0.7, 0.05
 
 
 def order_body(placer, engine, item, order):
@@ -34,7 +37,8 @@
 
 
 def call(placer, now_ms, id_, verb, engine, body, settings, item, order, not_after_ms=float("inf")):
-    """Start a call to an engine; it is kept in `placer.calls` until it ends."""
+    """The effect that calls an engine unless `not_after_ms` has passed; the call is recorded in
+    `placer.calls` until it ends."""
     expected = body.get("expected")
     placer.calls[id_] = PendingCall(verb, engine["name"], item, order, now_ms, expected)
     return EngineCall(
@@ -75,7 +79,7 @@
 
 
 def _on_first_call_ended(view, now_ms, called, pending, state):
-    """The first call of an order has ended: update what is known of the engine's order count."""
+    """The first call of an order has ended: update or invalidate the engine's order count."""
     engine_view.call_ended(view, now_ms, pending.order)
     if state == "taken":
         engine_view.order_taken(view, now_ms, pending.expected)
@@ -108,8 +112,8 @@
 
 def repeats_due(placer, now_ms, registry, name, settings, lease_end_ms):
     """Repeated calls for orders that were taken and should be done by now."""
-    last_ms = lease_end_ms - settings.call_timeout_ms
-    if now_ms >= last_ms or placer.held.lost:
+    not_after_ms = lease_end_ms - settings.call_timeout_ms
+    if now_ms >= not_after_ms or placer.held.lost:
         return []
     effects, next_wake_ms = [], float("inf")
     for engine in registry_view.engines_of(registry, name):
@@ -147,17 +151,20 @@
                     settings,
                     item,
                     order,
-                    last_ms,
+                    not_after_ms,
                 )
             )
             next_wake_ms = min(next_wake_ms, now_ms + pause_ms)
     return effects + ([Wake(next_wake_ms)] if effects or next_wake_ms < float("inf") else [])
 
 
-def _next_repeat(order_call, usual_ms):
-    """(when the call of an order is to be repeated, the pause before that)."""
+def _next_repeat(order_call, expected_ms):
+    """(when the call of an order is to be repeated, the pause from which the next one grows)."""
     if order_call.repeat_ms is None:
-        return order_call.ended_ms + _FIRST_REPEAT * usual_ms, _FIRST_PAUSE * usual_ms
+        return (
+            order_call.ended_ms + _FIRST_REPEAT_SHARE * expected_ms,
+            _FIRST_PAUSE_SHARE * expected_ms,
+        )
     return order_call.repeat_ms, order_call.pause_ms
 
 
@@ -165,4 +172,4 @@
     """How long an order is expected to take once the engine has taken it."""
     if entry["verb"] == "load" and "/" not in item:
         return placer.plan.load_ms.get(service, _DEFAULT_LOAD_MS)
-    return _ADAPTER_LOAD_MS
+    return _SHORT_ORDER_MS
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -3,7 +3,7 @@
 A report lists what is on an engine now.  It settles an order only if it was requested after the
 order's call had ended.  A changed incarnation means that the orders given to the previous one are
 void.  Items that no order explains are recorded as found, and charged.  For an engine that counts
-its orders, a report older than what is known of that count is ignored.  A report of a busy engine
+its orders, a report older than the known count is ignored.  A report of a busy engine
 never removes an item: an order in progress changes the items without changing the count.
 """
 
@@ -110,8 +110,8 @@
 
 def _hides_open_order(placer, engine, report):
     """Whether the report shows an item whose entry is a load order that may never arrive.  The
-    item was loaded by something else, and the charge for it would end with that order's entry.
-    So the count must not be learned until the item has an entry of its own."""
+    item may then have been loaded by something else, and the charge for it would end with that
+    order's entry.  So the count must not be learned until the item has an entry of its own."""
     entries = placer.ledger.engines.get(engine, {})
     return any(
         entries[item]["verb"] == "load" and entries[item]["state"] in ("intended", "unknown")
@@ -148,8 +148,9 @@
 
 
 def _item_facts(registry, engine, items):
-    """item -> its state and charge.  An item that no layout defines has an unknown size and is
-    charged the whole engine, so that nothing is loaded beside it until it is gone or defined."""
+    """item -> its state and charge.  The size of an item that no layout defines is unknown, so the
+    engine's whole room is charged for it, and nothing is loaded beside it until it is unloaded or
+    defined."""
     found = {}
     for item, state in items.items():
         size = registry_view.item_size(registry, item)
@@ -173,8 +174,8 @@
 
 def _settled_state(placer, now_ms, view, item, entry, report):
     """The new state that a report proves for an entry, or None."""
-    open_ = entry["state"] in _OPEN_STATES
-    if open_ and not _can_settle(placer, view, entry, report.requested_ms):
+    is_open = entry["state"] in _OPEN_STATES
+    if is_open and not _can_settle(placer, view, entry, report.requested_ms):
         return None
     reported = report.items.get(item)
     if entry["verb"] == "load":
--- a/libs/placement/src/placement/engine_view.py
+++ b/libs/placement/src/placement/engine_view.py
@@ -1,14 +1,15 @@
 """What a lease holder knows of one engine beyond the entries of its ledger.
 
-The entries say what may be on the engine; an `EngineView` says how far that is known.  Only the
-functions here and in `engine_reports` change it, one for each event.
+The entries list what may be on the engine; an `EngineView` holds how far that is known: the last
+report, the calls of orders and the order count.  Only the functions here and in `engine_reports`
+change it, one for each event.
 
-An engine that counts the orders it takes reports the count and refuses an order that expects
-another one.  While no order is in progress, its content follows from the orders taken.  So an
+An engine that counts the orders it takes reports the count and refuses an order that names another
+count.  While no order is in progress, the items on the engine follow from the orders taken.  So an
 order that names the count for which its room was computed is taken in exactly that state or not
-at all; a late one finds a higher count.  Invariant after every event, checked by
-`simulation.engine_orders`: at each count at which an order may be taken, the entries charge at
-least what may be on the engine, including this order.
+at all; an order that arrives late names too low a count and is refused.  Invariant after every
+event, checked by `simulation.engine_orders`: at each count at which an order may be taken, the
+entries charge at least what may be on the engine, including this order.
 """
 
 from dataclasses import dataclass, field
@@ -119,7 +120,7 @@
 
 
 def expected_count(view):
-    """The order count that the next order must find, or None if it is not known or not kept."""
+    """The order count that the next order names; None if unknown or if the engine keeps none."""
     return None if view.count is None else view.count.orders
 
 
@@ -170,8 +171,8 @@
 
 
 def schedule_repeat(view, order, at_ms, pause_ms):
-    """Repeat the call of an order that was taken at `at_ms`; `pause_ms` is the pause before
-    that."""
+    """Set the next repeated call of an order that was taken to `at_ms`; `pause_ms` is the pause
+    before that."""
     call = view.calls[order]
     call.repeat_ms, call.pause_ms = at_ms, pause_ms
 
@@ -183,7 +184,7 @@
 
 
 def invalidate_count(view, now_ms):
-    """The entries may differ from the engine's content; only a report requested after `now_ms`
+    """The entries may differ from the items on the engine; only a report requested after `now_ms`
     makes the count known again."""
     view.count = None
     view.count_invalid_ms = now_ms
@@ -211,7 +212,7 @@
 
 
 def learn_count(view, now_ms, report):
-    """Take over a report's count, unless the engine is busy; the entries charge all its items."""
+    """Use a report's count, unless the engine is busy; the entries already charge all its items."""
     if report.orders is None or report.busy:
         return
     view.count_invalid_ms = _NEVER_MS
@@ -240,7 +241,7 @@
 
 
 def forget_ended(view, entries):
-    """Drop calls and missing items that no longer have an entry."""
+    """Drop ended calls and missing items whose order no longer has an entry."""
     orders = {entry["order"] for entry in entries.values()}
     view.calls = {o: c for o, c in view.calls.items() if o in orders or c.ended_ms is None}
     view.first_missing_ms = {
--- a/libs/placement/src/placement/eviction.py
+++ b/libs/placement/src/placement/eviction.py
@@ -1,4 +1,4 @@
-"""Decides which models are evicted for another: the value and the room of their copies."""
+"""Chooses the models to evict for another one, by the value and the room of their copies."""
 
 import math
 
@@ -41,13 +41,13 @@
 
 
 def wanted_copies(view, model):
-    """How many copies leave spare slots for bursts and the loss of an engine."""
+    """How many copies leave spare slots for bursts and for the loss of an engine."""
     least = 2 if view.rates.get(model, 0.0) > _REDUNDANCY_RATE else 1
     return max(least, _copies_at(view, model, _TARGET_UTILIZATION))
 
 
 def _copies_at(view, model, utilization):
-    """How many copies a model's demand keeps at this utilization of their slots."""
+    """How many copies a model's demand needs to use at most this share of their slots."""
     slots = max(1, view.service.get("slots") or _DEFAULT_SLOTS)
     return max(
         1,
@@ -58,7 +58,8 @@
 
 
 def eviction_for(view, name, model, size_mb):
-    """(cost, models to evict) to make room for a model on an engine; None if there is no way."""
+    """(cost, models to evict) to make room for a model on an engine; None if too little room can be
+    freed."""
     items = view.placer.ledger.engines.get(name, {})
     used_mb, _ = registry_view.charged(view.registry, view.placer.ledger, name)
     free_mb = view.engines[name].roomMb - used_mb
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -1,4 +1,4 @@
-"""Replicated state of a service shard: orders, items on engines, waiting requests.
+"""The replicated state of a service shard: orders, items on engines, waiting requests.
 
 Every entry of an engine is charged, whatever its state, until a report or a refusal proves that
 the engine doesn't hold the item.  The lease holder and all followers update their ledgers with
@@ -36,9 +36,11 @@
 
 @dataclass
 class Ledger:
-    """`engines`: engine -> item -> entry; `holds`: id -> waiting request; `unmet`: service -> wish
-    -> why; `told`: id -> [reason, retry after ms] of requests rejected while waiting; `lingering`:
-    order -> service, of open loads on removed engines; `suspects`: engines that get no work."""
+    """`engines`: engine -> item -> entry; `incarnations`: engine -> last reported incarnation;
+    `holds`: id -> waiting request; `holdCount`, `orderCount`: number of waiting requests and orders
+    logged so far; `unmet`: service -> wish -> why; `told`: id -> [reason, retry after ms] of
+    requests rejected while waiting; `lingering`: order -> service, of open loads on removed
+    engines; `suspects`: engines that get no work."""
 
     engines: dict = field(default_factory=dict)
     incarnations: dict = field(default_factory=dict)
@@ -75,7 +77,8 @@
 
 
 def found_record(engine, incarnation, items, service, keep=()):
-    """A new incarnation, which orders for `keep` may still reach, or unexplained items."""
+    """An engine has a new incarnation, or holds `items` that no order explains.  `keep`: items
+    whose orders may still reach the new incarnation."""
     return _encode(
         {
             "k": "found",
@@ -93,7 +96,7 @@
 
 
 def unhold_record(id_, why, retry_ms=0):
-    """A request no longer waits; with `retryMs`, it was rejected for the reason `why`."""
+    """A request no longer waits; with a `retry_ms`, it was rejected for the reason `why`."""
     return _encode({"k": "unhold", "id": id_, "why": why, "retryMs": retry_ms})
 
 
@@ -187,12 +190,13 @@
 
 
 def open_loads(ledger, service, adapters=True):
-    """How many loads, with or without adapters, may still be reading from the weight store."""
+    """How many loads may still be reading from the weight store.  Without `adapters`, loads of
+    adapters aren't counted, except those on removed engines."""
     return sum(
         1
         for items in ledger.engines.values()
-        for n, i in items.items()
-        if i["service"] == service and is_open_load(i) and (adapters or "/" not in n)
+        for item, entry in items.items()
+        if entry["service"] == service and is_open_load(entry) and (adapters or "/" not in item)
     ) + sum(1 for other in ledger.lingering.values() if other == service)
 
 
@@ -212,13 +216,13 @@
 
 
 def is_loaded(ledger, engine, item):
-    """Whether an item is loaded; an adapter also needs its model to be, if that has an entry."""
+    """Whether an item is loaded; for an adapter also its model, if that has an entry."""
     items = ledger.engines.get(engine, {})
     model = items.get(item.partition("/")[0])
-    return _is_up(items.get(item)) and (model is None or _is_up(model))
+    return _is_loaded_entry(items.get(item)) and (model is None or _is_loaded_entry(model))
 
 
-def _is_up(entry):
+def _is_loaded_entry(entry):
     return bool(entry) and entry["verb"] == "load" and entry["state"] == "loaded"
 
 
@@ -232,7 +236,7 @@
 
 
 def dropped_record(engine):
-    """An engine was removed; its open loads still count, as the store may go on serving them."""
+    """An engine was removed; its open loads count on, as the weight store may still serve them."""
     return _encode({"k": "dropped", "engine": engine})
 
 
@@ -247,4 +251,5 @@
 
 
 def lingered_record(order):
+    """The open load of a removed engine no longer counts."""
     return _encode({"k": "lingered", "order": order})
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -2,8 +2,8 @@
 
 An order is given only if the new item fits beside everything that may still be on the engine.
 Open loads never exceed the service's share of the weight store.  A token bucket limits their
-rate; it starts empty after a takeover, so that two successive holders together stay within the
-rate of one.
+rate; it starts empty after a takeover, so that two successive lease holders together stay within
+the rate of one.
 """
 
 from placement import engine_calls, engine_view, load_queue, order_notes, placement, registry_view
@@ -12,7 +12,7 @@
 
 __all__ = ["plan", "give_order", "store_allows"]
 
-# Bound on open loads, as a multiple of the configured number, where loads are slow.
+# Bound on open loads as a multiple of the configured number, for slow loads.
 _MAX_LOADS_FACTOR = 4
 
 
@@ -31,11 +31,11 @@
         load_queue.reject_unservable(
             placer, now_ms, service_name, service["loads"], target_plan, settings
         )
-    sizes = {e.name: e for e in engines}
+    engines_by_name = {e.name: e for e in engines}
     for engine in engines:
-        _unload_unwanted(placer, registry, engine, service_name, target_plan, sizes)
+        _unload_unwanted(placer, registry, engine, service_name, target_plan, engines_by_name)
     for engine, item in placer.plan.queues[service_name]:
-        if _can_load(placer, registry, sizes[engine], item) and not _load(
+        if _can_load(placer, registry, engines_by_name[engine], item) and not _load(
             placer, now_ms, registry, engine, item, service_name, service
         ):
             return
@@ -98,26 +98,27 @@
 
 
 def _can_take_order(placer, engine):
-    """Whether an engine can take an order now."""
+    """Whether an engine can be given an order now."""
     entries = placer.ledger.engines.get(engine, {})
     return engine_view.can_take_order(engine_view.view_of(placer, engine), entries)
 
 
-def _is_moving(placer, registry, engine, item, target_plan, sizes):
-    """Whether another engine is loading the item or could, while this copy still serves."""
+def _is_moving(placer, registry, engine, item, target_plan, engines_by_name):
+    """Whether the plan moves the item to another engine that is loading it, or could load it now
+    while this copy still serves requests."""
     return any(
         item in targets
         and other != engine
         and not ledgers.is_loaded(placer.ledger, other, item)
         and (
             item in placer.ledger.engines.get(other, {})
-            or _can_load(placer, registry, sizes[other], item)
+            or _can_load(placer, registry, engines_by_name[other], item)
         )
         for other, targets in target_plan.targets.items()
     )
 
 
-def _unload_unwanted(placer, registry, engine, service, target_plan, sizes):
+def _unload_unwanted(placer, registry, engine, service, target_plan, engines_by_name):
     """Unload items that no layout defines any more and items whose room a target needs.  A copy
     that moves is unloaded only after it is loaded elsewhere, if there is room for both."""
     targets = target_plan.targets[engine.name]
@@ -133,14 +134,15 @@
         if not _can_take_order(placer, engine.name):
             return
         if (engine.name, item) in placer.plan.refused_ms or _is_moving(
-            placer, registry, engine.name, item, target_plan, sizes
+            placer, registry, engine.name, item, target_plan, engines_by_name
         ):
             continue
         give_order(placer, engine.name, item, "unload", entry["mb"], entry["places"], service)
 
 
 def _can_load(placer, registry, engine, item):
-    """Whether an item may be loaded now beside everything that may be on the engine."""
+    """Whether an order to load an item may be given now: the engine takes orders, an adapter's
+    model is loaded, and there is room beside everything that may be on the engine."""
     items = placer.ledger.engines.get(engine.name, {})
     if item in items or (engine.name, item) in placer.plan.refused_ms:
         return False
@@ -167,21 +169,21 @@
     return True
 
 
-def _max_open_loads(loads, usual):
-    """How many loads may be open at a time.  Where the layout limits only the rate, slow loads
-    must not use up the limit, so it grows up to a bound with the loads that the rate allows
-    during an average load.  `usual`: that number."""
+def _max_open_loads(loads, loads_per_duration):
+    """How many loads may be open at a time.  A layout that doesn't count loads of adapters limits
+    the rate; there, slow loads must not use up the limit, so it grows, up to a bound, with
+    `loads_per_duration`: how many loads the rate allows during an average load."""
     configured = loads["atOnce"]
     if loads.get("adapters", True):
         return configured
-    return max(configured, min(_MAX_LOADS_FACTOR * configured, usual))
+    return max(configured, min(_MAX_LOADS_FACTOR * configured, loads_per_duration))
 
 
 def store_allows(placer, now_ms, service_name, loads):
-    """Whether the service's share of the weight store allows one more load; takes a token."""
+    """Whether the service's share of the weight store allows one more load; takes a token if so."""
     burst, per_ms = load_queue.store_rate(loads)
-    out = ledgers.open_loads(placer.ledger, service_name, loads.get("adapters", True))
-    if out >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(service_name, 0.0)):
+    open_loads = ledgers.open_loads(placer.ledger, service_name, loads.get("adapters", True))
+    if open_loads >= _max_open_loads(loads, per_ms * placer.plan.load_ms.get(service_name, 0.0)):
         return False
     tokens, at_ms = placer.plan.tokens.get(
         service_name, (burst if placer.epoch == 1 else 0.0, now_ms)
--- a/libs/placement/src/placement/placement.py
+++ b/libs/placement/src/placement/placement.py
@@ -1,11 +1,12 @@
 """Computes which engine should hold which models and adapters.
 
-`place` is a pure function of the engines, the wishes and the items already loaded.  Wishes are
-served by ascending `yields`, one copy at a time.  Each partner first gets its own share of the
-pool's room.  Spare room is then lent in the same order; since every plan is computed from
-scratch, it returns to its owner as soon as the owner has a wish for it.  To keep moves few, an
-engine that already holds the item is preferred, then an engine where nothing has to be evicted.
-For each unmet wish the plan names the rule that prevented it and the wishes that won.
+`place` is a pure function of the engines, the wishes, the partners' shares and the items already
+loaded.  Wishes are served by ascending `yields`, one copy at a time.  Each partner first gets its
+own share of the pool's room.  Spare room is then lent in the same order; since every plan is
+computed from scratch, it returns to its owner as soon as the owner has a wish for it.  To keep
+moves few, an engine that already holds the item is preferred; then one in the zone with the fewest
+copies, and one where nothing has to be evicted.  For each unmet wish the plan names the rule that
+prevented it and the wishes that have the room.
 """
 
 import hashlib
@@ -29,7 +30,9 @@
 
 @dataclass(frozen=True)
 class Wish:
-    """A request for copies of a model or adapter.  `only`: the one engine allowed, or empty."""
+    """A request for copies of a model or adapter.  `zones`: the zones allowed, or empty for all;
+    `yields`: rank among the wishes, the lowest is served first; `only`: the one engine allowed, or
+    empty."""
 
     id: str
     partner: str
@@ -107,6 +110,7 @@
 
 
 def _cost(work, wish, engine):
+    """The room in MB that a copy takes on an engine: none if the model is already planned there."""
     return 0 if wish.model in work.plan.targets[engine] else wish.roomMb
 
 
@@ -116,7 +120,8 @@
     )
 
 
-def _zone_engines(work, wish):
+def _allowed_engines(work, wish):
+    """Engines on which the wish may be placed by its zones and its `only`."""
     return [
         name
         for name, engine in work.engines.items()
@@ -128,7 +133,7 @@
     """Place one more copy of the wish; False if no engine can take it."""
     item = item_name(wish.model, wish.adapter)
     placed_on = work.copies.setdefault(wish.id, set())
-    found = [n for n in _zone_engines(work, wish) if n not in placed_on and _fits(work, wish, n)]
+    found = [n for n in _allowed_engines(work, wish) if n not in placed_on and _fits(work, wish, n)]
     if own_share:
         left_mb = (
             work.shares.get(wish.partner, 0.0) * work.total_mb
@@ -138,10 +143,10 @@
         found = [n for n in found if _cost(work, wish, n) <= left_mb]
     if not found:
         return False
-    zones: dict = {}
+    zone_copies: dict = {}
     for name in placed_on:
-        zones[work.engines[name].zone] = zones.get(work.engines[name].zone, 0) + 1
-    best = min(found, key=lambda n: _rank(work, wish, item, n, zones))
+        zone_copies[work.engines[name].zone] = zone_copies.get(work.engines[name].zone, 0) + 1
+    best = min(found, key=lambda n: _rank(work, wish, item, n, zone_copies))
     _assign(work, wish, item, best)
     placed_on.add(best)
     if not own_share and wish.yields < BEST_EFFORT:
@@ -149,14 +154,15 @@
     return True
 
 
-def _rank(work, wish, item, name, zones):
+def _rank(work, wish, item, name, zone_copies):
+    """Sort key of an engine for a copy of the item; the lowest is chosen."""
     present_items = work.present.get(name, ())
     cost_mb = _cost(work, wish, name)
     held_mb = sum(work.sizes.get(i, 0) for i in present_items if i not in work.plan.targets[name])
     evicts = wish.model not in present_items and held_mb + cost_mb > work.free_mb[name]
     return (
         item not in present_items,
-        zones.get(work.engines[name].zone, 0),
+        zone_copies.get(work.engines[name].zone, 0),
         evicts,
         cost_mb,
         -work.free_mb[name],
@@ -176,11 +182,12 @@
 
 
 def _unmet_reason(work, wish):
-    zone = _zone_engines(work, wish)
+    """Why not all copies of a wish could be placed, as recorded in the ledger."""
+    allowed = _allowed_engines(work, wish)
     placed_on = work.copies.get(wish.id, set())
-    others = [n for n in zone if n not in placed_on]
+    others = [n for n in allowed if n not in placed_on]
     winners = sorted({w for n in others for w in work.plan.targets[n].values() if w != wish.id})
-    if not zone:
+    if not allowed:
         rule = "no-engine-in-zone"
     elif not others:
         rule = "more-copies-than-engines"
--- a/libs/placement/src/placement/placer.py
+++ b/libs/placement/src/placement/placer.py
@@ -1,8 +1,8 @@
 """The lease holder of a service shard: reads reports and gives durable orders.
 
-A placer polls its engines, settles entries of the ledger by their reports, computes plans and
-logs each order before sending it.  It sends nothing until the last call of the previous lease
-holder must have ended, nothing to an engine whose report it hasn't read itself, and nothing that
+A placer polls its engines, updates the entries of the ledger from their reports, computes plans
+and logs each order before sending it.  It sends no order until the last call of the previous lease
+holder must have ended, none to an engine whose report it hasn't read itself, and none whose call
 could outlast its own lease.
 """
 
@@ -30,15 +30,17 @@
 
 __all__ = ["on_taken_over", "tick", "on_called", "on_durable", "on_command", "new_poll"]
 
-# Of the call timeout: how long a node waits that was the previous lease holder itself.
+# Share of the call timeout for which a new lease holder gives no orders if it was also the
+# previous one.
 _SELF_TAKEOVER_FACTOR = 0.25
-# Of the call timeout: the least time between two plans triggered by responses.
+# Least time between two plans triggered by responses, as a share of the call timeout.
 _MIN_PLAN_INTERVAL = 0.01
 
 
 def on_taken_over(placer, now_ms, settings):
-    """The shard's log is recovered: read reports, but give no orders before `not_before_ms`.  The
-    wait is short if this node held the lease: only its last calls may still be in flight."""
+    """The shard's log is recovered: load the ledger, and set the time before which no orders are
+    given.  The wait is short if this node was the previous lease holder: only its own last calls
+    may still be in flight."""
     placer.ledger = ledgers.load(placer.held.checkpoint)
     for record in placer.held.records:
         ledgers.apply(placer.ledger, record)
@@ -53,7 +55,8 @@
 
 
 def tick(placer, now_ms, registry, shards, settings, lease_end_ms, lost):
-    """Poll engines, expire waiting requests, plan, give orders; `lost`: is a counter gone?"""
+    """Poll engines, expire waiting requests, plan and give orders.  `lost(name, life)`: whether a
+    counter (a node that routes requests) is gone."""
     if not placer.held.ready or placer.held.lost or now_ms >= lease_end_ms:
         return []
     effects = _poll_engines(placer, now_ms, registry, shards, settings)
@@ -90,7 +93,7 @@
 
 
 def new_poll(placer, now_ms, engine):
-    """Record and return the next poll of an engine; each has an id of its own."""
+    """Record and return the next poll of an engine, with an id of its own."""
     placer.report_count += 1
     poll = Poll(f"report:{engine}:{placer.report_count}", now_ms)
     engine_view.poll_sent(engine_view.view_of(placer, engine), poll)
@@ -98,18 +101,18 @@
 
 
 def _poll_due(placer, now_ms, engine, service, settings):
-    """Whether to request a report; not while the response to the last poll may still come."""
-    last = engine_view.view_of(placer, engine["name"]).poll
-    if last is None:
+    """Whether to request a report now; not while the last poll may still be answered."""
+    last_poll = engine_view.view_of(placer, engine["name"]).poll
+    if last_poll is None:
         return True
-    since_ms = now_ms - last.requested_ms
-    if last.id in placer.calls and since_ms < 2 * settings.call_timeout_ms:
+    since_ms = now_ms - last_poll.requested_ms
+    if last_poll.id in placer.calls and since_ms < 2 * settings.call_timeout_ms:
         return False
     return since_ms >= _poll_interval(placer, engine, service, settings)
 
 
 def _poll_interval(placer, engine, service, settings):
-    """How long to wait between reports.  With placement by demand, repeated calls show when an
+    """How long to wait between two polls.  With placement by demand, repeated calls show when an
     order is done, so frequent reports are needed only while a state is uncertain."""
     view = engine_view.view_of(placer, engine["name"])
     if not service.get("byDemand") or not engine_view.count_known(view) or view.first_missing_ms:
@@ -124,14 +127,14 @@
 
 
 def _drop_gone_engines(placer, now_ms, registry, settings):
-    """Drop removed engines.  Their open loads are counted until they can no longer read from the
-    weight store; a new lease holder starts that time afresh."""
+    """Drop removed engines.  Their open loads still count against the weight store's limit until
+    they can no longer be reading from it; a new lease holder restarts that time."""
     for engine in [e for e in placer.ledger.incarnations if e not in registry.engines]:
         append_record(placer, ledgers.dropped_record(engine))
         placer.engines.pop(engine, None)
     for order, service in list(placer.ledger.lingering.items()):
-        last_ms = max(settings.unreachable_ms, 2 * placer.plan.load_ms.get(service, 0.0))
-        if now_ms - placer.plan.lingering_ms.setdefault(order, now_ms) >= last_ms:
+        linger_ms = max(settings.unreachable_ms, 2 * placer.plan.load_ms.get(service, 0.0))
+        if now_ms - placer.plan.lingering_ms.setdefault(order, now_ms) >= linger_ms:
             del placer.plan.lingering_ms[order]
             append_record(placer, ledgers.lingered_record(order))
 
@@ -151,8 +154,8 @@
     if kind == "order":
         _, engine, item, order, verb, body = then
         facts = registry.engines.get(engine)
-        last_ms = lease_end_ms - settings.call_timeout_ms
-        may_send = facts is not None and now_ms < last_ms and not placer.held.lost
+        not_after_ms = lease_end_ms - settings.call_timeout_ms
+        may_send = facts is not None and now_ms < not_after_ms and not placer.held.lost
         if may_send and verb == "load":
             may_send = _fits_current_sizes(placer, registry, facts)
         if not may_send or not registry_view.usable(registry, facts):
@@ -161,7 +164,7 @@
         engine_view.order_sent(engine_view.view_of(placer, engine), order)
         return [
             engine_calls.call(
-                placer, now_ms, order, verb, facts, body, settings, item, order, last_ms
+                placer, now_ms, order, verb, facts, body, settings, item, order, not_after_ms
             )
         ]
     return []
@@ -196,7 +199,7 @@
 
 
 def _replan_soon(placer, now_ms, settings):
-    """Plan again soon, but only once for many responses that arrive together."""
+    """The effects that trigger another plan soon, one for many responses that arrive together."""
     return (
         [Wake(max(now_ms, placer.plan.planned_ms + _MIN_PLAN_INTERVAL * settings.call_timeout_ms))]
         if settings.turnMs
@@ -205,8 +208,8 @@
 
 
 def on_command(placer, now_ms, token, verb, body, registry, settings):
-    """Handle a command of a counter (a node that routes requests): it reports demand, or starts or
-    ends the wait of a request, which is answered once committed."""
+    """Handle a command of a counter (a node that routes requests).  It reports demand, or starts or
+    ends the wait of a request; the latter two are answered once their record is committed."""
     if verb == "wanted":
         for item, count in body["items"].items():
             demand.record_requests(placer.demand, now_ms, item, count)
@@ -233,7 +236,7 @@
 
 
 def _mark_served(placer, item):
-    """An item that is loaded serves its requests, so its unserved demand is cleared."""
+    """Clear the unserved demand of an item that is loaded and so can serve its requests."""
     if item in placer.demand.unserved and any(
         ledgers.is_loaded(placer.ledger, engine, item) for engine in placer.ledger.engines
     ):
@@ -244,8 +247,8 @@
     id_ = body["id"]
     if id_ in placer.ledger.holds:
         answer = {"id": id_, "turn": placer.ledger.holds[id_]["turn"]}
-        known = shard_log.barrier(placer.held, ("reply", token, answer))
-        return [Reply(token, answer)] if known else []
+        durable = shard_log.barrier(placer.held, ("reply", token, answer))
+        return [Reply(token, answer)] if durable else []
     if body["model"] not in registries.models(registry):
         return [Reply(token, failures.UnknownModel(body["service"], body["model"]))]
     item = placement.item_name(body["model"], body["adapter"])
--- a/libs/placement/src/placement/state.py
+++ b/libs/placement/src/placement/state.py
@@ -22,11 +22,13 @@
 class PlacerSettings:
     """Timing and size limits of a placer; `config` derives the times from its bounds.
 
-    `call_timeout_ms`: of a call to an engine; `report_interval_ms`: between reports of an engine;
-    `unreachable_ms`: after this time without an answer, an engine's last report is discarded;
-    `turnMs`: least wait before a new lease holder gives orders; with 0, plans are only computed on
-    ticks; `lagMs`: by how much the content of a report may be older than the request for it;
-    `max_holds`, `max_holds_per_model`: limits of waiting requests."""
+    `call_timeout_ms`: timeout of a call to an engine; `report_interval_ms`: time between polls of
+    an engine; `unreachable_ms`: after this time without a response, an engine's last report is
+    discarded; `turnMs`: least wait before a new lease holder gives orders; with 0, plans are only
+    computed on ticks; `list_interval_ms`: time between readings of the platform's engine list;
+    `lagMs`: by how much the content of a report may be older than the request for it;
+    `checkpoint_records`: number of records after which the log gets a checkpoint; `max_holds`,
+    `max_holds_per_model`: limits on the number of waiting requests."""
 
     call_timeout_ms: float
     report_interval_ms: float
@@ -55,10 +57,10 @@
 @dataclass
 class PlanState:
     """State of planning.  `tokens`: service -> (tokens in the weight store's bucket, time);
-    `plans`: service -> (inputs, plan); `queues`: service -> (engine, item) still to be loaded;
+    `plans`: service -> (inputs, plan); `queues`: service -> the (engine, item) still to be loaded;
     `load_ms`: service -> average duration of loads; `refused_ms`: (engine, item) -> when an
     order was refused; `lingering_ms`: order -> since when its load counts as open although its
-    engine is gone."""
+    engine was removed; `planned_ms`: when plans were last computed."""
 
     tokens: dict = field(default_factory=dict)
     plans: dict = field(default_factory=dict)
@@ -84,8 +86,9 @@
 
     `held`: the shard's log; `held_before`: whether this node was the previous lease holder too;
     `not_before_ms`: no orders are given before this time; `engines`: name -> EngineView, what is
-    known of each engine beyond the ledger's entries; `calls`: id -> PendingCall; `notes`: log
-    lines not yet emitted."""
+    known of each engine beyond the ledger's entries; `calls`: id -> PendingCall; `report_count`:
+    number of polls so far; `notes`: log lines not yet emitted; `summary_ms`: when the last summary
+    of waiting requests was logged."""
 
     shard: int
     epoch: int
