--- a/libs/placement/src/placement/attempt_outcomes.py
+++ b/libs/placement/src/placement/attempt_outcomes.py
@@ -17,10 +17,10 @@
 
     def add(self, now_ms, fade_ms, good=0.0, bad=0.0, unanswered=0.0):
         """Decay the counts and add attempts that have just ended."""
-        kept = math.exp(-max(0.0, now_ms - self.at_ms) / fade_ms)
-        self.good = self.good * kept + good
-        self.bad = self.bad * kept + bad
-        self.unanswered = self.unanswered * kept + unanswered
+        decay = math.exp(-max(0.0, now_ms - self.at_ms) / fade_ms)
+        self.good = self.good * decay + good
+        self.bad = self.bad * decay + bad
+        self.unanswered = self.unanswered * decay + unanswered
         self.at_ms = now_ms
 
 
@@ -35,7 +35,7 @@
 
 @dataclass
 class OutcomeHistory:
-    """What a lease holder knows of engines' outcomes, and each engine's last suspicion."""
+    """The outcomes of recent attempts, and the last suspicion, of each engine."""
 
     outcomes: dict = field(default_factory=dict)
     suspicions: dict = field(default_factory=dict)
--- a/libs/placement/src/placement/demand.py
+++ b/libs/placement/src/placement/demand.py
@@ -1,8 +1,8 @@
 """Demand for items as reported by counters: request rates that decay, kept by a placer.
 
 An item that requests had to wait for also has unserved demand, until a request finds it loaded.
-It remains when the requests have ended.  So many requests for a rare model that each end before
-it is loaded together get it loaded for later ones.
+It outlasts the requests: if many requests for a rare model each end before it is loaded, together
+they get it loaded for later ones.
 """
 
 import math
@@ -19,13 +19,14 @@
     "record_requests",
 ]
 
+# Time constant of the exponential decay of request rates.
 FADE_MS = 8000.0
-# Unserved demand decays so slowly that requests some seconds apart add up.
+# Time constant for unserved demand, so long that requests some seconds apart add up.
 _UNSERVED_FADE_MS = 4 * FADE_MS
-# Averaging time of the time that a request spends at its engine, and bounds of the result.
+# Time constant of the average time that a request spends at its engine, and bounds of its samples.
 _REQUEST_TIME_FADE_MS = FADE_MS / 2
 _MIN_REQUEST_S, _MAX_REQUEST_S = 0.1, 4.0
-# With fewer requests per second, the running requests are no usable sample.
+# With fewer requests per second, the number of running requests is no usable sample.
 _MIN_SAMPLE_RATE = 4.0
 
 
@@ -43,8 +44,9 @@
     """`rates`: item -> (requests per second, time); `unserved`: item -> UnservedDemand;
     `reserved`: item -> (engine where room is made for it, since); `loaded_at_ms`: (engine, item)
     -> when it was loaded; `pauseMs`: engine -> until when it gets no order after a refusal;
-    `loaded_before`: engine -> items that it has loaded at some time; `request_s`: average time
-    for which a request occupies a slot."""
+    `loaded_before`: engine -> items that it has loaded at some time; `seeded`: whether the rates
+    have initial values; `request_s`: average time for which a request occupies a slot;
+    `request_learned_ms`: when that was last updated."""
 
     rates: dict = field(default_factory=dict)
     unserved: dict = field(default_factory=dict)
@@ -74,10 +76,10 @@
     if requests_per_s < _MIN_SAMPLE_RATE:
         return
     elapsed_ms = 0.0 if demand.request_learned_ms is None else now_ms - demand.request_learned_ms
-    share = 1 - math.exp(-elapsed_ms / _REQUEST_TIME_FADE_MS)
+    weight = 1 - math.exp(-elapsed_ms / _REQUEST_TIME_FADE_MS)
     sample_s = min(_MAX_REQUEST_S, max(_MIN_REQUEST_S, running / requests_per_s))
     demand.request_s, demand.request_learned_ms = (
-        demand.request_s + share * (sample_s - demand.request_s),
+        demand.request_s + weight * (sample_s - demand.request_s),
         now_ms,
     )
 
@@ -88,7 +90,7 @@
 
 
 def unserved(demand, now_ms, item):
-    """How many requests have had to wait for an item since it last served one, decayed."""
+    """How many requests have had to wait for an item since one last found it loaded, decayed."""
     known = demand.unserved.get(item)
     if known is None:
         return 0.0
@@ -96,5 +98,5 @@
 
 
 def clear_unserved(demand, item):
-    """A request found the item loaded."""
+    """A request found the item loaded: clear its unserved demand."""
     demand.unserved.pop(item, None)
--- a/libs/placement/src/placement/demand_planner.py
+++ b/libs/placement/src/placement/demand_planner.py
@@ -1,9 +1,9 @@
 """Placement by demand, for services whose layout doesn't configure copies.
 
 Counters (nodes that route requests) report the demand for each item.  Items with waiting requests
-are loaded first, by priority; then the most requested models get more copies.  The items of least
-value are evicted: rarely requested ones, or ones with further copies.  An engine on which room is
-made for an item is reserved until the item is loaded, so that nothing is evicted twice for it.
+are loaded by priority; the most requested models get more copies.  The items of least value are
+evicted: rarely requested ones, or ones with further copies.  An engine on which room is made for
+an item is reserved until the item is loaded, so that nothing is evicted twice for it.
 """
 
 from transport.rendezvous import weight
@@ -24,13 +24,14 @@
 
 # The longest time for which an engine is reserved for an item.
 _MAX_RESERVATION_MS = 9600.0
+# Number of request rates above which decayed ones are dropped.
 _MAX_RATES = 4096
 _PAUSE_MS = 60.0
-# By this factor, a further copy of a model must be worth more than the copies evicted for it.
+# A further copy of a model must be worth this many times the copies evicted for it.
 _EXTRA_COPY_MARGIN = 1.5
 # Initial requests per second for each further copy of a model.
 _SEED_RATE = 16.0
-# Cost of a further copy in a zone that has one, in requests per second.
+# Cost of a further copy for each one that its zone already has, in requests per second.
 _SAME_ZONE_COST = 0.2
 
 
@@ -95,7 +96,7 @@
 
 
 def _seed_rates(view):
-    """Until counters report demand, the number of copies of a model stands for its rate."""
+    """Give each model an initial rate by its number of copies, until counters report demand."""
     view.placer.demand.seeded = True
     for model, copies in view.copies.items():
         if "/" not in model:
@@ -113,8 +114,8 @@
         and _is_wanted(view, item)
     }
     if len(demand.rates) > _MAX_RATES:
-        least_ms = view.now_ms - 8 * FADE_MS
-        demand.rates = {i: r for i, r in demand.rates.items() if r[1] > least_ms}
+        oldest_ms = view.now_ms - 8 * FADE_MS
+        demand.rates = {i: r for i, r in demand.rates.items() if r[1] > oldest_ms}
 
 
 def _is_wanted(view, item):
@@ -138,10 +139,13 @@
 
 
 def _place_adapter(view, item, model):
+    """Give the next order towards loading an adapter on a host of its model, evicting at most one
+    other adapter: the least requested one that no request waits for."""
     hosts = [n for n in view.hosts.get(model, ()) if n in view.idle]
     size = registry_view.item_size(view.registry, item)
 
     def to_evict(name):
+        """The adapters to evict on an engine; None if there is neither room nor one to evict."""
         items = view.placer.ledger.engines[name]
         used_mb, places = registry_view.charged(view.registry, view.placer.ledger, name)
         if places + size[1] <= view.engines[name].places and (
@@ -173,11 +177,12 @@
 
 
 def _place_model(view, model, hosts, max_cost):
-    """Choose the engine where a model costs least, and give the next order there."""
+    """Choose the engine where a model costs least, preferring those that have loaded it before, and
+    give the next order there.  `hosts` already have a copy."""
     size_mb = registry_view.item_size(view.registry, model)[0]
     reservation = view.placer.demand.reserved.get(model)
     names = [reservation[0]] if reservation else [n for n in sorted(view.idle) if n not in hosts]
-    reserved_engines = {m[0] for i, m in view.placer.demand.reserved.items() if i != model}
+    reserved_engines = {r[0] for i, r in view.placer.demand.reserved.items() if i != model}
     found = []
     for name in names:
         if (
@@ -189,14 +194,14 @@
         proposed = eviction.eviction_for(view, name, model, size_mb)
         if proposed is None or proposed[0] > max_cost:
             continue
-        known = model in view.placer.demand.loaded_before.get(name, ())
-        zones = sum(1 for n in hosts if view.engines[n].zone == view.engines[name].zone)
+        loaded_before = model in view.placer.demand.loaded_before.get(name, ())
+        same_zone = sum(1 for n in hosts if view.engines[n].zone == view.engines[name].zone)
         found.append(
             (
-                proposed[0] * (0.6 if known else 1.0)
-                + _SAME_ZONE_COST * zones
+                proposed[0] * (0.6 if loaded_before else 1.0)
+                + _SAME_ZONE_COST * same_zone
                 + _blocked_adapter_rate(view, name),
-                not known,
+                not loaded_before,
                 weight(model, name),
                 name,
                 proposed[1],
@@ -209,7 +214,8 @@
 
 
 def _order_next_step(view, name, item, evicted):
-    """Unload the first item to evict, or load if there is none and the store allows it."""
+    """Unload the first item to evict, or load the item if there is none.  The weight store's limits
+    apply to models that the engine hasn't loaded before."""
     items = view.placer.ledger.engines.get(name, {})
     if evicted:
         view.idle.discard(name)
@@ -219,10 +225,10 @@
         )
         view.copies[evicted[0]] = view.copies.get(evicted[0], 1) - 1
         return
-    known = item in view.placer.demand.loaded_before.get(name, ())
+    loaded_before = item in view.placer.demand.loaded_before.get(name, ())
     if (
         "/" not in item
-        and not known
+        and not loaded_before
         and not orders.store_allows(view.placer, view.now_ms, view.name, view.service["loads"])
     ):
         return
@@ -233,19 +239,20 @@
     view.placer.demand.reserved.pop(item, None)
 
 
-def _add_copies(view, copies_of, share):
-    """Add a copy of each model that has fewer than `copies_of` returns, most requested first, if
-    it costs less than its value: a `share` of the model's rate per copy."""
+def _add_copies(view, copies_for, value_factor):
+    """Add a copy of each loaded model that has fewer copies than `copies_for` returns, most
+    requested first, if it costs less than its value: the model's rate per copy times
+    `value_factor`, divided by a margin."""
     if not view.idle:
         return
     found = [
         (-requests_per_s, item)
         for item, requests_per_s in view.rates.items()
-        if "/" not in item and 0 < view.copies.get(item, 0) < copies_of(view, item)
+        if "/" not in item and 0 < view.copies.get(item, 0) < copies_for(view, item)
     ]
-    for requests_per_s, model in sorted(found):
+    for negated_rate, model in sorted(found):
         if not view.idle:
             return
         hosts = [n for n in view.engines if model in view.placer.ledger.engines.get(n, {})]
-        max_cost = -requests_per_s * share / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
+        max_cost = -negated_rate * value_factor / (1 + view.copies[model]) / _EXTRA_COPY_MARGIN
         _place_model(view, model, hosts, max_cost)
--- a/libs/placement/src/placement/demand_view.py
+++ b/libs/placement/src/placement/demand_view.py
@@ -20,27 +20,28 @@
     "waiting_requests",
 ]
 
-# Priority of an item that is waited for, in requests per second: a base, and what each waiting
+# Priority of an item with waiting requests, in requests per second: a base, and what each waiting
 # request adds.
 _BASE_PRIORITY = 0.4
 _PER_REQUEST = 0.4
 # Weight of a request that ended unserved, relative to a waiting one.
 _UNSERVED_WEIGHT = 1.0
-# With less unserved demand, nothing is loaded for requests to come.
+# With less unserved demand, an item isn't loaded for future requests.
 _MIN_UNSERVED = 0.5
 # How much less a request counts for each class that is more urgent than its own.
 _CLASS_DISCOUNT = 0.2
-# Requests per second below which an item is left out.
+# Requests per second below which the rate of an item is left out.
 _MIN_RATE = 0.001
 
 
 @dataclass
 class DemandView:
-    """`engines`: name -> Engine; `copies`: item -> how many engines hold or load it; `waiting`:
-    item -> (since when, weight) of each waiting request; `wanted`: items with waiting requests
-    or unserved demand; `rates`: item -> requests per second; `adapter_rates`: model -> requests
-    per second for its adapters; `idle`: names of engines that can be given an order now;
-    `hosts`: model -> names of engines where it is loaded."""
+    """`name`, `service`: the service and its configuration; `engines`: name -> Engine; `copies`:
+    item -> how many engines hold or load it; `waiting`: item -> (since when, weight) of each
+    waiting request; `wanted`: items with waiting requests or unserved demand; `rates`: item ->
+    requests per second; `adapter_rates`: model -> requests per second for its adapters; `idle`:
+    names of engines that can be given an order now; `hosts`: model -> names of engines where it
+    is loaded."""
 
     placer: object
     now_ms: float
@@ -81,9 +82,9 @@
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] == name:
             since_ms = placer.wait_queue.since_ms.get(id_, now_ms)
-            caller = since_ms, 1 / (1 + _CLASS_DISCOUNT * rank_of(hold["class"]))
+            request = since_ms, 1 / (1 + _CLASS_DISCOUNT * rank_of(hold["class"]))
             for item in {hold["model"], item_name(hold["model"], hold["adapter"])}:
-                found.setdefault(item, []).append(caller)
+                found.setdefault(item, []).append(request)
     return found
 
 
@@ -91,12 +92,12 @@
     """Items with waiting requests or recent unserved demand.  The latter gets an item loaded for
     later requests even if a load takes longer than any request waits."""
     demand = view.placer.demand
-    with_unserved = {
+    unserved_items = {
         item
         for item, known in demand.unserved.items()
         if known.service == view.name and unserved(demand, view.now_ms, item) > _MIN_UNSERVED
     }
-    return with_unserved | view.waiting.keys()
+    return unserved_items | view.waiting.keys()
 
 
 def copies_of(placer, engines):
@@ -111,16 +112,16 @@
 
 def priority(view, item):
     """How much value, in requests per second, may be evicted to load an item.  It grows with the
-    number of waiting requests, their wait and their urgency, and with the unserved demand.
-    Without waiting requests, an item only displaces items that are requested less often."""
-    callers = view.waiting.get(item, ())
-    if not callers:
+    number of waiting requests, the longest wait, their urgency and the unserved demand.  Without
+    waiting requests, an item only displaces items that are requested less often."""
+    requests = view.waiting.get(item, ())
+    if not requests:
         return view.rates.get(item, 0.0)
-    oldest_ms = min(since_ms for since_ms, _ in callers)
+    oldest_ms = min(since_ms for since_ms, _ in requests)
     waited_s = (view.now_ms - oldest_ms) / 1000
-    waiting = sum(weight for _, weight in callers) * (1 + waited_s)
+    waiting_weight = sum(weight for _, weight in requests) * (1 + waited_s)
     unserved_weight = _UNSERVED_WEIGHT * unserved(view.placer.demand, view.now_ms, item)
-    return _BASE_PRIORITY + _PER_REQUEST * (waiting + unserved_weight)
+    return _BASE_PRIORITY + _PER_REQUEST * (waiting_weight + unserved_weight)
 
 
 def hosts_of(placer, engines):
--- a/libs/placement/src/placement/engine_list_polling.py
+++ b/libs/placement/src/placement/engine_list_polling.py
@@ -2,8 +2,8 @@
 
 The lease holder of shard 0 requests the list page by page and logs only the changes.  An engine
 is removed only if a complete list lacks it; a list that can't be read completely changes nothing.
-The remaining warm-up time of an engine is logged when it starts, and again only if the
-list says that it will take longer than expected.
+The remaining warm-up time of an engine is logged when the list first shows it, and again only if
+the list shows that the warm-up will end later than expected.
 """
 
 from dataclasses import dataclass, field
@@ -13,13 +13,15 @@
 __all__ = ["EngineListPoll", "tick", "on_called"]
 
 _MAX_PAGES = 200
+# By how much later a warm-up must end than expected to be logged again.
 _WARMUP_SLACK_MS = 700
 
 
 @dataclass
 class EngineListPoll:
-    """State of reading the list: the current `round`, the `token` of the next page, whether a page
-    is requested (`open`), the engines `found` so far, and when each will be warm."""
+    """State of reading the list: when the first page was requested, the number of the reading
+    (`round`), the `token` of the next page, whether a response is pending (`open`), the engines
+    `found` so far, and when each will be warm."""
 
     requested_ms: float = -1e12
     round: int = 0
@@ -54,7 +56,8 @@
 
 
 def on_called(poll, now_ms, id_, called, registry, settings, address, prefix):
-    """(effects, changed engines): requests the next page, or compares a complete list."""
+    """(effects, changed engines): request the next page, or compare a complete list with the
+    registry."""
     if id_ != f"list:{poll.round}" or not poll.open:
         return [], []
     if called.code != 200 or not isinstance(called.body.get("engines"), list):
@@ -71,20 +74,25 @@
 
 
 def _changed_engines(poll, now_ms, registry):
+    """The engines of a complete list that are new or changed, and those that were removed."""
     changed = []
     for name, engine in poll.found.items():
         old = registry.engines.get(name)
-        plain = {k: v for k, v in engine.items() if k != "warmMs"}
+        without_warmup = {k: v for k, v in engine.items() if k != "warmMs"}
         warm_ms = int(engine.get("warmMs", 0))
         warmup_extended = (
             warm_ms > 0
             and now_ms + warm_ms > poll.warm_until_ms.get(name, -1e12) + _WARMUP_SLACK_MS
         )
-        if old is None or warmup_extended or any(old.get(k) != v for k, v in plain.items()):
+        if (
+            old is None
+            or warmup_extended
+            or any(old.get(k) != v for k, v in without_warmup.items())
+        ):
             if warmup_extended:
                 poll.warm_until_ms[name] = now_ms + warm_ms
             left_ms = max(0, int(poll.warm_until_ms.get(name, now_ms) - now_ms))
-            changed.append({**plain, **({"warmMs": left_ms} if left_ms else {})})
+            changed.append({**without_warmup, **({"warmMs": left_ms} if left_ms else {})})
     for name, old in registry.engines.items():
         if name not in poll.found:
             poll.warm_until_ms.pop(name, None)
--- a/libs/placement/src/placement/engine_reports.py
+++ b/libs/placement/src/placement/engine_reports.py
@@ -3,8 +3,8 @@
 A report lists what is on an engine now.  It settles an order only if it was requested after the
 order's call had ended.  A changed incarnation means that the orders given to the previous one are
 void.  Items that no order explains are recorded as found, and charged.  For an engine that counts
-its orders, a report older than the known count is ignored.  A report of a busy engine
-never removes an item: an order in progress changes the items without changing the count.
+its orders, a report older than the known count is ignored.  A report of a busy engine never removes
+an item: an order in progress changes the items without changing the count.
 """
 
 from placement import engine_view, load_queue, order_notes, registry_view
--- a/libs/placement/src/placement/ledger.py
+++ b/libs/placement/src/placement/ledger.py
@@ -236,7 +236,7 @@
 
 
 def dropped_record(engine):
-    """An engine was removed; its open loads count on, as the weight store may still serve them."""
+    """An engine was removed.  Its open loads still count: the weight store may still serve them."""
     return _encode({"k": "dropped", "engine": engine})
 
 
--- a/libs/placement/src/placement/load_queue.py
+++ b/libs/placement/src/placement/load_queue.py
@@ -1,10 +1,10 @@
-"""Orders the loads that are still due, and estimates how long requests wait for them.
+"""Sorts the loads that are still due, and estimates how long requests wait for them.
 
-Loads that a request waits for come first, by the time since when it waits.  Each less urgent
+Loads that a request waits for come first, by the time when it began to wait.  Each less urgent
 class counts as if the request had come some seconds later, so that no item and no class starves.
-The estimate follows from this order, the weight store's rate and the average duration of loads.
+The estimate follows from this sequence, the weight store's rate and the average duration of loads.
 A request whose deadline the estimate exceeds is rejected at once with the estimated time; so is
-one for which nothing has begun after twice the first estimate.
+one whose load hasn't begun after twice the first estimate.
 """
 
 from configuration.schema import rank_of
@@ -34,7 +34,7 @@
 
 
 def waiting_since(placer, service):
-    """item -> since when a request waits for it, adjusted by class."""
+    """item -> when the wait of its first request began, adjusted by class."""
     found: dict = {}
     for id_, hold in placer.ledger.holds.items():
         if hold["service"] != service:
@@ -49,8 +49,8 @@
     """(engine, item) of the plan's loads that are still due, in the order of loading."""
     waiting = waiting_since(placer, service)
 
-    def turn(place):
-        engine, item = place
+    def sort_key(load):
+        engine, item = load
         if item in waiting and not _is_placed(placer, item):
             return (0, waiting[item], item, engine)
         return (1, yields.get(plan.targets[engine][item], placement.BEST_EFFORT), item, engine)
@@ -62,7 +62,7 @@
             for item in targets
             if item not in placer.ledger.engines.get(engine, {})
         ),
-        key=turn,
+        key=sort_key,
     )
 
 
@@ -73,7 +73,8 @@
 
 
 def learn_load_time(placer, now_ms, engine, entry):
-    """A load is done: update the average duration of the service's loads."""
+    """A load is done: update the average duration of the service's loads, counted from the end of
+    the order's first call."""
     ended_ms, service = _call_ended_ms(placer, engine, entry), entry["service"]
     if ended_ms is not None:
         took_ms = now_ms - ended_ms
@@ -83,16 +84,16 @@
 
 
 def estimate_wait(placer, now_ms, service, loads, item, settings):
-    """In how many ms an item will be loaded on some engine; None if no load is planned.  Engines
-    that don't report or that get no work are not counted."""
+    """Estimated ms until an item is loaded on some engine; None if no load of it is planned or
+    loads are not allowed.  Engines that don't report or that get no work are not counted."""
     mean_load_ms = placer.plan.load_ms.get(service, 2 * settings.report_interval_ms)
     base, _, adapter = item.partition("/")
-    serving = _usable_engines(placer, service)
+    usable = _usable_engines(placer, service)
     entries = [
         (engine, entry)
         for engine, items in placer.ledger.engines.items()
         for name, entry in items.items()
-        if name == item and entry["verb"] == "load" and engine in serving
+        if name == item and entry["verb"] == "load" and engine in usable
     ]
     if any(e["state"] == "loaded" for _, e in entries):
         return 0.0
@@ -100,16 +101,16 @@
         ended = [_call_ended_ms(placer, n, e) for n, e in entries]
         start_ms = max(now_ms if at_ms is None else at_ms for at_ms in ended)
         return max(settings.report_interval_ms, mean_load_ms - (now_ms - start_ms))
-    places = [n for n, (_, i) in enumerate(placer.plan.queues.get(service, ()), 1) if i == item]
-    if not places or not loads["atOnce"] or not loads["perMinute"]:
+    positions = [n for n, (_, i) in enumerate(placer.plan.queues.get(service, ()), 1) if i == item]
+    if not positions or not loads["atOnce"] or not loads["perMinute"]:
         return None
     tokens = placer.plan.tokens.get(service, (0.0, now_ms))[0]
     per_ms = max(1e-9, store_rate(loads)[1])
     open_loads = ledgers.open_loads(placer.ledger, service)
-    rate_ms = max(0.0, (places[0] - tokens) / per_ms)
-    turns_ms = max(0, open_loads + places[0] - loads["atOnce"]) / loads["atOnce"] * mean_load_ms
+    rate_ms = max(0.0, (positions[0] - tokens) / per_ms)
+    queue_ms = max(0, open_loads + positions[0] - loads["atOnce"]) / loads["atOnce"] * mean_load_ms
     steps = 2 if adapter and not _is_loaded_anywhere(placer, base) else 1
-    return max(rate_ms, turns_ms) + steps * (mean_load_ms + settings.report_interval_ms)
+    return max(rate_ms, queue_ms) + steps * (mean_load_ms + settings.report_interval_ms)
 
 
 def _call_ended_ms(placer, engine, entry):
@@ -131,10 +132,8 @@
 def reject_unservable(placer, now_ms, service, loads, plan, settings):
     """Reject waiting requests that the plan has no room for or whose deadline can't be met."""
     planned_items = {i for targets in plan.targets.values() for i in targets}
-    serving = _usable_engines(placer, service)
-    planned_items |= {
-        i for n, items in placer.ledger.engines.items() if n in serving for i in items
-    }
+    usable = _usable_engines(placer, service)
+    planned_items |= {i for n, items in placer.ledger.engines.items() if n in usable for i in items}
     placer.wait_queue.estimated_ms = {
         i: ms for i, ms in placer.wait_queue.estimated_ms.items() if i in placer.ledger.holds
     }
@@ -143,19 +142,19 @@
             continue
         item = placement.item_name(hold["model"], hold["adapter"])
         if item not in planned_items:
-            _release(placer, id_, "no-room", 10 * settings.call_timeout_ms)
+            _reject(placer, id_, "no-room", 10 * settings.call_timeout_ms)
             continue
         wait_ms = estimate_wait(placer, now_ms, service, loads, item, settings)
-        end_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
+        deadline_ms = placer.wait_queue.since_ms.get(id_, now_ms) + hold["waitMs"]
         if wait_ms is None:
             continue
-        expected_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
-        overdue = now_ms > expected_ms + wait_ms and not _is_placed(placer, item)
-        if overdue or now_ms + 0.9 * wait_ms > end_ms:
-            _release(placer, id_, "loads-queue", wait_ms)
+        estimated_ms = placer.wait_queue.estimated_ms.setdefault(id_, now_ms + wait_ms)
+        overdue = now_ms > estimated_ms + wait_ms and not _is_placed(placer, item)
+        if overdue or now_ms + 0.9 * wait_ms > deadline_ms:
+            _reject(placer, id_, "loads-queue", wait_ms)
 
 
-def _release(placer, id_, why, retry_ms):
+def _reject(placer, id_, why, retry_ms):
     placer.wait_queue.since_ms.pop(id_, None)
     append_record(placer, ledgers.unhold_record(id_, why, int(max(1000, retry_ms))))
 
@@ -165,4 +164,4 @@
     `lost(name, life)` says whether one is."""
     for id_, hold in list(placer.ledger.holds.items()):
         if lost(hold.get("node", ""), hold.get("life", "")):
-            _release(placer, id_, "counter-lost", 1000)
+            _reject(placer, id_, "counter-lost", 1000)
--- a/libs/placement/src/placement/order_notes.py
+++ b/libs/placement/src/placement/order_notes.py
@@ -1,4 +1,4 @@
-"""The log lines of a placer: each order, and the response or report that settled it.
+"""The log lines of a placer about its orders, and the responses and reports that settle them.
 
 One line for an order and one for its end show afterwards which response or report made the placer
 conclude that an engine had room.  Lines are collected while the placer works and emitted as
@@ -20,7 +20,7 @@
     "summary_due",
 ]
 
-_SUMMARY_PAUSE_MS = 1000.0
+_SUMMARY_INTERVAL_MS = 1000.0
 
 
 def drain(placer):
@@ -36,7 +36,8 @@
 
 
 def log_order(placer, engine, item, verb, order):
-    """An order was given; `charged`: MB and adapter places beside it on the engine."""
+    """Log that an order is given; `charged`: MB and adapter places of the engine's entries before
+    that."""
     _add(
         placer,
         "order",
@@ -52,8 +53,9 @@
 
 
 def log_response(placer, order, called, state, again):
-    """The response to an order; `again`: to a repeated call, `kept`: on a connection that had
-    carried other calls.  A repeated call whose order is still in progress isn't logged."""
+    """Log the response to an order.  `again`: it is the response to a repeated call; `kept`: it
+    came on a connection that had carried other calls.  The response to a repeated call isn't
+    logged while the order is still in progress."""
     if again and state == "taken":
         return
     _add(
@@ -70,7 +72,7 @@
 
 
 def log_settled(placer, now_ms, engine, item, entry, state, report):
-    """A report settled an entry of the ledger."""
+    """Log that a report settled an entry of the ledger."""
     _add(
         placer,
         "order-reported",
@@ -89,7 +91,7 @@
 
 
 def log_found(placer, now_ms, engine, items, report):
-    """A report showed items that no order explains, or a new incarnation of an engine."""
+    """Log that a report shows items that no order explains, or a new incarnation of an engine."""
     _add(
         placer,
         "found",
@@ -105,12 +107,12 @@
 
 def summary_due(placer, now_ms):
     """Whether it is time for the next summary."""
-    return now_ms - placer.summary_ms >= _SUMMARY_PAUSE_MS
+    return now_ms - placer.summary_ms >= _SUMMARY_INTERVAL_MS
 
 
 def log_summary(placer, now_ms, service, facts_of):
-    """Once a second while requests wait: how many, for what, and what delays them, as returned
-    by `facts_of()`."""
+    """Log, at most once a second, how many requests wait, for what, and what delays them, as
+    returned by `facts_of()`."""
     if summary_due(placer, now_ms):
         placer.summary_ms = now_ms
         _add(placer, "waiting", {"service": service, **facts_of()})
--- a/libs/placement/src/placement/orders.py
+++ b/libs/placement/src/placement/orders.py
@@ -171,7 +171,7 @@
 
 def _max_open_loads(loads, loads_per_duration):
     """How many loads may be open at a time.  A layout that doesn't count loads of adapters limits
-    the rate; there, slow loads must not use up the limit, so it grows, up to a bound, with
+    only the rate; there, slow loads must not use up this limit, so it grows, up to a bound, with
     `loads_per_duration`: how many loads the rate allows during an average load."""
     configured = loads["atOnce"]
     if loads.get("adapters", True):
--- a/libs/placement/src/placement/registry_view.py
+++ b/libs/placement/src/placement/registry_view.py
@@ -39,7 +39,7 @@
 
 
 def usable(registry, engine):
-    """Whether an engine accepts new work: it has joined, and its zone is not evacuated."""
+    """Whether an engine may get new work: it has joined, and its zone is not evacuated."""
     return engine["state"] == "join" and engine["zone"] not in registry.zones
 
 
@@ -78,7 +78,8 @@
 
 
 def shares_of(service):
-    """partner -> share of the service's room; all of it for the owner if none are configured."""
+    """partner -> share of the service's room; all of it for the service's partner if no shares are
+    configured."""
     return service["shares"] or {service["partner"]: 1.0}
 
 
@@ -102,12 +103,14 @@
                         wish["yields"],
                     )
                 )
-    turns: dict = {}
+    first_turns: dict = {}
     for hold in ledger.holds.values():
         if hold["service"] == service:
             key = (hold["model"], hold["adapter"])
-            turns[key] = min(turns.get(key, hold["turn"]), hold["turn"])
-    for number, (_turn, (model, adapter)) in enumerate(sorted((t, k) for k, t in turns.items())):
+            first_turns[key] = min(first_turns.get(key, hold["turn"]), hold["turn"])
+    for number, (_turn, (model, adapter)) in enumerate(
+        sorted((t, k) for k, t in first_turns.items())
+    ):
         item = item_name(model, adapter)
         if item_size(registry, item):
             found.append(
@@ -160,12 +163,12 @@
     for engine in engines_of(registry, service):
         report = reports.get(engine["name"])
         if usable(registry, engine) and report is not None:
-            roomMb, places = engine_room(registry, engine)
+            room_mb, places = engine_room(registry, engine)
             found.append(
                 Engine(
                     engine["name"],
                     engine["zone"],
-                    min(roomMb, report.roomMb),
+                    min(room_mb, report.roomMb),
                     min(places, report.places),
                 )
             )
--- a/libs/placement/src/placement/suspects.py
+++ b/libs/placement/src/placement/suspects.py
@@ -16,7 +16,8 @@
 
 __all__ = ["update_suspects", "record_outcomes"]
 
-# An engine becomes suspect with this many recent failures and this ratio of all attempts.
+# An engine becomes suspect with at least this many recent failures and this ratio of failures to
+# all attempts.
 _MIN_FAILURES = 3.0
 _MIN_FAILURE_RATIO = 0.3
 # With fewer recent successes, an engine is unresponsive rather than overloaded, and attempts
@@ -24,6 +25,7 @@
 _MIN_SUCCESSES = 0.5
 # The share of a service's engines that may be suspect at a time.
 _MAX_SUSPECT_RATIO = 1 / 3
+# Longest time without work after repeated suspicions, as a multiple of the first.
 _MAX_BACKOFF_FACTOR = 4
 
 
@@ -44,15 +46,15 @@
 
 
 def _clear_expired(placer, now_ms, engines, settings):
-    """Clear suspects whose time is over; after a takeover, that time starts afresh."""
+    """Clear suspects whose time without work is over; a new lease holder restarts that time."""
     history = placer.outcome_history
     for engine in engines:
         if engine not in placer.ledger.suspects:
             continue
-        known = history.suspicions.setdefault(
+        suspicion = history.suspicions.setdefault(
             engine, Suspicion(now_ms + settings.unreachable_ms, 1)
         )
-        if now_ms >= known.until_ms:
+        if now_ms >= suspicion.until_ms:
             history.outcomes.pop(engine, None)
             append_record(placer, ledgers.cleared_record(engine))
 
@@ -67,9 +69,9 @@
             placer.outcome_history, now_ms, engine, settings
         ):
             continue
-        before = placer.outcome_history.suspicions.get(engine)
-        recent = before is not None and now_ms - before.until_ms < 4 * settings.unreachable_ms
-        factor = min(_MAX_BACKOFF_FACTOR, 2 * before.backoff_factor) if recent else 1
+        previous = placer.outcome_history.suspicions.get(engine)
+        recent = previous is not None and now_ms - previous.until_ms < 4 * settings.unreachable_ms
+        factor = min(_MAX_BACKOFF_FACTOR, 2 * previous.backoff_factor) if recent else 1
         placer.outcome_history.suspicions[engine] = Suspicion(
             now_ms + factor * settings.unreachable_ms, factor
         )
@@ -89,9 +91,10 @@
 
 
 def _forget_removed(placer, registry):
+    """Drop what is known of engines that are no longer in the registry."""
     history = placer.outcome_history
-    for known in (history.outcomes, history.suspicions):
-        for engine in [name for name in known if name not in registry.engines]:
-            del known[engine]
+    for by_engine in (history.outcomes, history.suspicions):
+        for engine in [name for name in by_engine if name not in registry.engines]:
+            del by_engine[engine]
     for engine in [name for name in placer.ledger.suspects if name not in registry.engines]:
         append_record(placer, ledgers.cleared_record(engine))
--- a/libs/placement/src/placement/waiting_summary.py
+++ b/libs/placement/src/placement/waiting_summary.py
@@ -1,4 +1,4 @@
-"""Summarizes the requests that wait for a service's models, and what delays the loads."""
+"""Summarizes for the log which requests wait for a service's items, and what delays the loads."""
 
 from collections import Counter
 
@@ -9,8 +9,9 @@
 
 
 def summarize(view):
-    """Facts for the log: the waiting requests, the models they wait for, the longest wait in ms,
-    and for models neither loaded nor being loaded the reason that applies at most engines."""
+    """The number of waiting requests (a request for an adapter also counts for its model) and of
+    the items that they wait for, the longest wait in ms, and for models neither loaded nor being
+    loaded (`heldUp`) the reason that applies to most engines, counted by reason."""
     callers = [since_ms for found in view.waiting.values() for since_ms, _ in found]
     models = [item for item in view.waiting if "/" not in item]
     missing = [model for model in models if not view.copies.get(model)]
@@ -37,8 +38,8 @@
 
 
 def _engine_reason(view, model, size_mb, name):
-    kept = view.placer.demand.reserved.items()
-    if any(engine == name and other != model for other, (engine, _) in kept):
+    reservations = view.placer.demand.reserved.items()
+    if any(engine == name and other != model for other, (engine, _) in reservations):
         return "engine kept for another model"
     if name not in view.idle:
         return "engine busy"
