--- a/libs/placement/src/placement/__init__.py
+++ b/libs/placement/src/placement/__init__.py
@@ -1,3 +1,3 @@
 """Decides which engine holds which model and adapter, and orders loads and unloads."""
 
-__all__ = ["ledger", "placement", "placer", "world"]
+__all__ = ["ledger", "placement", "placer", "registry_view"]
--- a/libs/routing/src/routing/dialect.py
+++ b/libs/routing/src/routing/dialect.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """`reader`: a `manifest.written.Reader`.
+    """`reader`: a `configuration.documents.Reader`.
 
     engine_request(url, verb, body) -> engine_api.EngineRequest of a load, unload, report or list
     read_engine_response(verb, body, code, data) -> dict that the placer understands
