--- a/libs/routing/src/routing/attempts.py
+++ b/libs/routing/src/routing/attempts.py
@@ -1,7 +1,7 @@
 """The remaining time of an attempt, and the proof that its end gives.
 
 A proof says what is known about an attempt that ended: whether the request may have run, and
-whether the engine is to blame.  `router.ended` lists the values.
+whether the engine is at fault.  `router.ended` lists the values.
 """
 
 import time
@@ -30,8 +30,8 @@
 
 
 def broken_stream_proof(ended, request, resumable):
-    """The proof of a stream that broke off.  It counts as late rather than broken if the attempt's
-    time was over."""
+    """The proof of a stream that broke off: that of a late stream if the attempt's time was over,
+    otherwise that of a broken one."""
     late = time.monotonic() * 1000 >= request["end_ms"] - _CLOCK_TOLERANCE_MS
     late = late or (ended is not None and ended.cause == TIMED_OUT)
     if resumable:
--- a/libs/routing/src/routing/choice.py
+++ b/libs/routing/src/routing/choice.py
@@ -2,9 +2,9 @@
 
 Rendezvous hashing over model, adapter and the start of the prompt sends similar prompts to the
 same engine, where their KV prefix is cached; a bound on the load keeps any engine from getting
-much more than its share.  A fresh engine ramps up: the few places that it offers at first are
+much more than its share.  A fresh engine ramps up: the few slots that it offers at first are
 divided among all routing nodes (role `counter`), where a hash of the engine's incarnation decides
-which nodes get them first.  Lower classes may fill only a fraction of an engine's slots.
+which nodes get one first.  Lower classes may fill only a fraction of an engine's slots.
 """
 
 import math
@@ -48,16 +48,18 @@
 
 
 def _ramp_fraction(router, now_ms, engine):
-    """The fraction of its slots that an engine gets so long after its start."""
+    """The fraction of its slots that an engine offers now; it grows from the start of its ramp."""
     age_ms = now_ms - router.ramp_starts.get(engine["name"], (None, now_ms))[1]
     return min(1.0, _INITIAL_RAMP + age_ms / router.settings.ramp_ms)
 
 
 def _hash_rank(router, engine, nodes):
-    """This node's position in the order in which nodes get the places of a fresh engine."""
+    """This node's position in the order in which nodes get the slots of a fresh engine."""
     key = f"{engine['name']}|{router.ramp_starts.get(engine['name'], ('',))[0]}"
-    mine = weight(key, nodes.own_name)
-    return sum(1 for name in nodes.names if name != nodes.own_name and weight(key, name) > mine)
+    own_weight = weight(key, nodes.own_name)
+    return sum(
+        1 for name in nodes.names if name != nodes.own_name and weight(key, name) > own_weight
+    )
 
 
 def limit(router, now_ms, engine, nodes, rank, service=None):
@@ -80,9 +82,9 @@
 
 
 def _limit_with_warmup_rate(router, now_ms, engine, nodes, rank, service):
-    """Twice this node's share of the slots, since callers are spread unevenly over the nodes.
-    None for a pause after an attempt broke on the engine, and none while the engine is cold and
-    its rate is used up."""
+    """The limit on an engine whose service has a warm-up rate: twice this node's share of the
+    slots, since callers are spread unevenly over the nodes.  It is 0 for a pause after an attempt
+    broke on the engine, and while the engine is cold and this node has no token for it."""
     if now_ms - router.broken_at_ms.get(engine["name"], -1e12) < router.settings.pauseMs:
         return 0
     if cold_engines.is_cold(router, now_ms, engine) and not cold_engines.take_token(
@@ -143,7 +145,9 @@
 
 
 def _preferred(router, free, engines, nodes, task):
-    """The preferred one of the engines that have a free place."""
+    """The preferred engine of those with a free place.  Without a model, that is the one with the
+    fewest attempts in flight; with a model, the first in rendezvous order that is within the
+    bound on the load."""
     if not task.model:
         return min(
             free,
@@ -155,8 +159,10 @@
     total = sum(router.in_flight.get(e["name"], 0) for e in engines) + 1
     bound = max(1, -(-int(total * _LOAD_BOUND * 100) // (len(engines) * 100)))
     key = f"{task.model}|{task.adapter}|{task.opening}"
-    near = nodes.zone if 0 < sum(task.tokens[:1]) < _SHORT_PROMPT_TOKENS else None
-    order = sorted(free, key=lambda e: (e["zone"] == near, weight(key, e["name"])), reverse=True)
+    preferred_zone = nodes.zone if 0 < sum(task.tokens[:1]) < _SHORT_PROMPT_TOKENS else None
+    order = sorted(
+        free, key=lambda e: (e["zone"] == preferred_zone, weight(key, e["name"])), reverse=True
+    )
     for engine in order:
         if router.in_flight.get(engine["name"], 0) < bound:
             return engine
--- a/libs/routing/src/routing/final_responses.py
+++ b/libs/routing/src/routing/final_responses.py
@@ -33,14 +33,14 @@
     return [Hold("unhold", -1, {"service": task.service, "id": task.id, "why": why})]
 
 
-def unlisted_model(floor, task):
+def unlisted_model(cluster, task):
     """The failure for a task whose model the configuration doesn't list, or None if the task may
     go on.  On a platform the caller may know a newer configuration, so it is told to retry; a
     request without a model may go to any engine of the service."""
     item = item_name(task.model, task.adapter)
     if task.from_platform and not item:
         return None
-    if registry_view.item_size(floor.registry, item):
+    if registry_view.item_size(cluster.registry, item):
         return None
     if task.from_platform:
         return failures.NoRoom(_UNLISTED_RETRY_MS, item, "unlisted")
--- a/libs/routing/src/routing/refusal_log.py
+++ b/libs/routing/src/routing/refusal_log.py
@@ -27,15 +27,15 @@
     return notes
 
 
-def record(router, now_ms, floor, task, cause, nodes=None):
+def record(router, now_ms, cluster, task, cause, nodes=None):
     """Record a refused request; without `nodes` no attempt limits are logged."""
     if now_ms - router.last_refusal_note_ms < _MIN_INTERVAL_MS:
         router.unlogged_refusals += 1
         return
     item = item_name(task.model, task.adapter) if task.model else ""
-    engines = registry_view.engines_of(floor.registry, task.service)
+    engines = registry_view.engines_of(cluster.registry, task.service)
     descriptions = [
-        _describe_engine(router, now_ms, floor, task, item, engine, nodes)
+        _describe_engine(router, now_ms, cluster, task, item, engine, nodes)
         for engine in engines[:_MAX_ENGINES]
     ]
     facts = {
@@ -56,15 +56,15 @@
     router.pending_notes.append(LogLine("refused", facts, True))
 
 
-def _describe_engine(router, now_ms, floor, task, item, engine, nodes):
+def _describe_engine(router, now_ms, cluster, task, item, engine, nodes):
     """What is known of one engine; unknown facts are left out."""
     name = engine["name"]
-    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
-    service = registries.services(floor.registry).get(task.service)
+    ledger = cluster_state.ledger_of(cluster, registry_view.shard_of(task.service, cluster.shards))
+    service = registries.services(cluster.registry).get(task.service)
     entry = ledger.engines.get(name, {}).get(item)
     facts = {
         "engine": name,
-        "usable": registry_view.usable(floor.registry, engine),
+        "usable": registry_view.usable(cluster.registry, engine),
         "suspect": name in ledger.suspects,
         "has": not item or ledgers.is_loaded(ledger, name, item),
         "entry": f"{entry['verb']} {entry['state']}" if entry else None,
--- a/libs/routing/src/routing/resuming.py
+++ b/libs/routing/src/routing/resuming.py
@@ -10,16 +10,16 @@
 __all__ = ["resume"]
 
 
-def resume(router, now_ms, floor, nodes, token, incarnation):
+def resume(router, now_ms, cluster, nodes, token, incarnation):
     """Decide whether to resume a stream whose connection broke: one more attempt at the same
     engine, if it is still the same incarnation and the retry budget allows it."""
     task = router.tasks.get(token)
-    engine = floor.registry.engines.get(task.attempted[-1]) if task and task.attempted else None
+    engine = cluster.registry.engines.get(task.attempted[-1]) if task and task.attempted else None
     if (
         engine is None
-        or cluster_state.incarnation(floor, engine) != incarnation
+        or cluster_state.incarnation(cluster, engine) != incarnation
         or (now_ms >= task.end_ms)
-        or tenants.authorize(floor.registry, task) is not None
+        or tenants.authorize(cluster.registry, task) is not None
         or not retry_budget.retry_allowed(router, now_ms, task.service, 0.0, nodes)
     ):
         return [Reply(token, failures.StreamCut("not-resumed", 0))]
--- a/libs/routing/src/routing/router.py
+++ b/libs/routing/src/routing/router.py
@@ -42,58 +42,60 @@
 ]
 
 
-# Proofs after which a task is over.
+# Proofs (see `ended`) after which a task is over.
 _FINAL_PROOFS = ("done", "failed", "gone", "unanswered", "cut", "cut-late")
-# How long an engine is avoided after an attempt with this proof.
+# How long a task of a platform avoids an engine after an attempt with this proof.  After other
+# proofs, and for other tasks, the engine is avoided for good.
 _AVOID_MS = {"not-run": 100.0, "no-pipe": 1000.0, "unknown": 1e12}
 
 
-def begin(router, now_ms, floor, age_ms, nodes, task):
-    """Start a task that has come in from a caller."""
+def begin(router, now_ms, cluster, age_ms, nodes, task):
+    """Start a new task; returns the effects.  `cluster` is the cluster state that this node
+    follows, `age_ms` its age, and `nodes` the RoutingNodes."""
     router.tasks[task.token] = task
     task.since_ms = now_ms
     if age_ms > router.settings.staleMs:
         return fail(
             router, task, failures.Stale(int(router.settings.staleMs), int(min(age_ms, 1e9)))
         )
-    service = registries.services(floor.registry).get(task.service)
+    service = registries.services(cluster.registry).get(task.service)
     if service is None:
         return fail(router, task, failures.UnknownService(task.service))
     retry_budget.count_request(router, now_ms, task.service)
     if service["kind"] == "models":
-        failure = unlisted_model(floor, task)
+        failure = unlisted_model(cluster, task)
         if failure is not None:
             return fail(router, task, failure)
     if task.awaiting_quota:
         return []
-    return _dispatch(router, now_ms, floor, nodes, task)
+    return _dispatch(router, now_ms, cluster, nodes, task)
 
 
-def admit(router, now_ms, floor, nodes, task):
-    """Start a task that has got the token of its tenant's rate limit that it waited for."""
+def admit(router, now_ms, cluster, nodes, task):
+    """Dispatch a task that waited for a token of its tenant's rate limit and now has one."""
     task.awaiting_quota = False
-    return _dispatch(router, now_ms, floor, nodes, task)
+    return _dispatch(router, now_ms, cluster, nodes, task)
 
 
 def refuse(router, task, failure):
-    """End a task that got no token of its tenant's rate limit."""
+    """End a task with `failure`, since it got no token of its tenant's rate limit."""
     return fail(router, task, failure)
 
 
-def _dispatch(router, now_ms, floor, nodes, task):
+def _dispatch(router, now_ms, cluster, nodes, task):
     """Give the task an attempt, a place in a wait queue, or its final response."""
-    unauthorized = tenants.authorize(floor.registry, task)
+    unauthorized = tenants.authorize(cluster.registry, task)
     if unauthorized is not None:
         return fail(router, task, unauthorized)
     if now_ms >= task.end_ms:
         return fail(router, task, failures.DeadlinePassed(1000, bool(task.attempted)))
     if task.attempts_sent >= task.max_attempts:
-        refusal_log.record(router, now_ms, floor, task, "engines-refused", nodes)
+        refusal_log.record(router, now_ms, cluster, task, "engines-refused", nodes)
         return fail(router, task, attempts_exhausted(task))
     item = item_name(task.model, task.adapter) if task.model else ""
-    available = cluster_state.engines_with(floor, task.service, item)
+    available = cluster_state.engines_with(cluster, task.service, item)
     available = [e for e in available if task.avoid_until_ms.get(e["name"], 0.0) <= now_ms]
-    service = registries.services(floor.registry).get(task.service)
+    service = registries.services(cluster.registry).get(task.service)
     engine = choice.choose(router, now_ms, available, nodes, task, task.rank, service)
     if engine is not None:
         router.in_flight[engine["name"]] = router.in_flight.get(engine["name"], 0) + 1
@@ -127,27 +129,27 @@
             return []
         retryMs = int(max(ready_ms, 1000 * (1 + task.rank)))
         cause = "all-busy" if available else "no-engine"
-        refusal_log.record(router, now_ms, floor, task, cause, nodes)
+        refusal_log.record(router, now_ms, cluster, task, cause, nodes)
         return fail(router, task, failures.Overloaded(retryMs, cause))
-    return _enqueue(router, now_ms, floor, task)
+    return _enqueue(router, now_ms, cluster, task)
 
 
-def _enqueue(router, now_ms, floor, task):
+def _enqueue(router, now_ms, cluster, task):
     """Queue the task for its model at the lease holder of its service's shard."""
     if task.waiting:
         return []
     if not wait_queue.has_room(router, task):
         return fail(router, task, failures.Overloaded(3000 * (1 + task.rank), "line-full"))
     if not any(
-        registry_view.usable(floor.registry, e)
-        for e in registry_view.engines_of(floor.registry, task.service)
+        registry_view.usable(cluster.registry, e)
+        for e in registry_view.engines_of(cluster.registry, task.service)
     ):
         return fail(router, task, failures.NoRoom(3000, task.model, "no-engine"))
-    return [wait_queue.hold_for_model(floor, task, now_ms)]
+    return [wait_queue.hold_for_model(cluster, task, now_ms)]
 
 
 def hold_answered(router, now_ms, id_, outcome):
-    """The lease holder's response to a hold: a position in the queue, or a refusal."""
+    """Apply the lease holder's response to a hold: a position in the queue, or a refusal."""
     for task in list(router.tasks.values()):
         if task.id == id_ and task.waiting:
             if isinstance(outcome, failures.Failure):
@@ -157,23 +159,23 @@
     return []
 
 
-def attempt_silent(router, now_ms, floor, age_ms, nodes, token):
-    """An attempt has had no response for long: start another elsewhere if the task is repeatable
-    and another engine has a place, else keep waiting."""
+def attempt_silent(router, now_ms, cluster, age_ms, nodes, token):
+    """Handle an attempt that has had no response for long: start another one elsewhere if the task
+    is repeatable and another engine has a place, else keep waiting."""
     task = router.tasks.get(token)
     if (
         task is None
         or not task.repeatable
         or not task.attempted
         or task.attempts_sent >= task.max_attempts
-        or not tenants.is_authorized(floor.registry, task)
+        or not tenants.is_authorized(cluster.registry, task)
         or not retry_budget.retry_allowed(router, now_ms, task.service, age_ms, nodes, True)
     ):
         return [Reply(token, KeepWaiting())]
     engine, item = task.attempted[-1], item_name(task.model, task.adapter) if task.model else ""
     others = [
         e
-        for e in cluster_state.engines_with(floor, task.service, item)
+        for e in cluster_state.engines_with(cluster, task.service, item)
         if e["name"] != engine
         and task.avoid_until_ms.get(e["name"], 0.0) <= now_ms
         and router.in_flight.get(e["name"], 0)
@@ -183,40 +185,41 @@
             e,
             nodes,
             task.rank,
-            registries.services(floor.registry).get(task.service),
+            registries.services(cluster.registry).get(task.service),
         )
     ]
     if not others:
         return [Reply(token, KeepWaiting())]
-    return ended(router, now_ms, floor, age_ms, nodes, token, "unknown", True)
+    return ended(router, now_ms, cluster, age_ms, nodes, token, "unknown", True)
 
 
-def retry_waiting(router, now_ms, floor, age_ms, nodes):
-    """Try the waiting tasks again, in order, after the floor changed or an attempt ended."""
-    engine_tracking.update(router, now_ms, floor)
+def retry_waiting(router, now_ms, cluster, age_ms, nodes):
+    """Try the waiting tasks again, in order, after the cluster state changed or an attempt
+    ended."""
+    engine_tracking.update(router, now_ms, cluster)
     if age_ms > router.settings.staleMs:
         return []
     effects = []
     for task in wait_queue.in_order(router):
-        dropped = wait_queue.dropped_by_holder(floor, task)
+        dropped = wait_queue.dropped_by_holder(cluster, task)
         if dropped:
             task.waiting = False
             effects += fail(router, task, failures.NoRoom(dropped[1], task.model, dropped[0]))
         else:
-            effects += _dispatch(router, now_ms, floor, nodes, task)
+            effects += _dispatch(router, now_ms, cluster, nodes, task)
     return effects
 
 
-def tick(router, now_ms, floor):
+def tick(router, now_ms, cluster):
     """End the tasks that have waited for too long.  Those whose model is being loaded may wait
     longer."""
     effects = []
     for task in list(router.tasks.values()):
         if task.waiting and now_ms >= task.give_up_ms:
             awaits_place = task.awaits_place or task.model_loaded
-            if not awaits_place and now_ms < wait_queue.loading_deadline_ms(floor, task):
+            if not awaits_place and now_ms < wait_queue.loading_deadline_ms(cluster, task):
                 continue
-            refusal_log.record(router, now_ms, floor, task, "waited for a place or a model")
+            refusal_log.record(router, now_ms, cluster, task, "waited for a place or a model")
             effects += fail(
                 router,
                 task,
@@ -227,12 +230,13 @@
     return effects
 
 
-def ended(router, now_ms, floor, age_ms, nodes, token, proof, superseded=False):
-    """An attempt ended with a proof: "done", "failed" (the engine's response reports a failure),
-    "not-run" (the engine refused it), "no-pipe" (nothing was sent), "unknown" (it may have run),
-    "timed-out" (unknown, after its timeout), "cut" or "cut-late" (a stream broke before or at its
-    deadline), "unanswered" (the caller left after its target latency without a response) or "gone"
-    (the caller left).  `superseded`: given up for another attempt."""
+def ended(router, now_ms, cluster, age_ms, nodes, token, proof, superseded=False):
+    """Handle the end of an attempt.  Its proof is one of "done", "failed" (the engine's
+    response reports a failure), "not-run" (the engine refused it), "no-pipe" (nothing was sent),
+    "unknown" (it may have run), "timed-out" (unknown, after its timeout), "cut" or "cut-late" (a
+    stream broke before or at its deadline), "unanswered" (the caller left after its target latency
+    without a response) and "gone" (the caller left).  `superseded`: abandoned for another
+    attempt."""
     task = router.tasks.get(token)
     if task is None:
         return [Reply(token, Done())]
@@ -261,7 +265,7 @@
         )
         if proof == "no-pipe" and task.from_platform:
             task.attempts_sent -= 1
-            return _dispatch(router, now_ms, floor, nodes, task)
+            return _dispatch(router, now_ms, cluster, nodes, task)
     may_retry = proof in ("not-run", "no-pipe") or task.repeatable
     if not may_retry:
         router.tasks.pop(token, None)
@@ -271,4 +275,4 @@
             return fail(router, task, failures.OutcomeUnknown("leg-broken"))
         return fail(router, task, failures.Overloaded(2000, "no-retry-left"))
     router.retried += 1
-    return _dispatch(router, now_ms, floor, nodes, task)
+    return _dispatch(router, now_ms, cluster, nodes, task)
--- a/libs/routing/src/routing/tasks.py
+++ b/libs/routing/src/routing/tasks.py
@@ -1,5 +1,4 @@
-"""A task on its way through a routing node (role `counter`), and the router's decisions and
-state."""
+"""The task, the decisions and the state of the router of a routing node (role `counter`)."""
 
 from dataclasses import dataclass, field
 
@@ -28,9 +27,11 @@
 
     `attempted` lists the engines of all attempts, `current_engine` is that of the one in flight,
     empty if there is none.  `rank` is the class of the route: wait queues, engines' places and
-    loads are divided by it.  `tenant_rank` is the class of the tenant, None if the tenant sets
-    none.  `credential` is None if no API key is required.  `tenant` names the tenant of the last
-    or next attempt, None if there is none.  `awaits_place` and `model_loaded`: waits for a place
+    loads are divided by it.  `opening` is the start of the prompt.  `turn` is the position in the
+    lease holder's queue, 0 if it is unknown.  `patience_ms` is the time after which the caller
+    would give up.  `tenant_rank` is the class of the tenant, None if the tenant sets none.
+    `credential` is None if no API key is required.  `tenant` names the tenant of the last or next
+    attempt, None if there is none.  `awaits_place` and `model_loaded`: the task waits for a place
     here, not in the lease holder's queue for a model.  `from_platform`: came through a platform's
     dialect.
     """
@@ -116,7 +117,10 @@
     `broken_at_ms`: when an attempt last broke, by engine.  `demand_counts`: requests by service
     and model, not yet reported to the placers.  `known_engines`: (engine, whether it was usable)
     at the last update.  `last_contact_ms`: the last valid response by engine.
-    `unreported_failures`: (failed, late) attempts by engine, not yet reported.
+    `unreported_failures`: (failed, late) attempts by engine, not yet reported.  `cold_until_ms`:
+    until when an engine is cold.  `cold_tokens`: (tokens, time) of the bucket for a cold engine.
+    `seen_changes`: the `changes` of the cluster state at the last update.  `pending_notes`: log
+    lines not yet taken.
     """
 
     settings: RoutingSettings
--- a/libs/routing/src/routing/wait_queue.py
+++ b/libs/routing/src/routing/wait_queue.py
@@ -1,4 +1,4 @@
-"""Tasks that wait for a model to be loaded or for a place: which may, and for how long.
+"""Tasks that wait for a model to be loaded or for a place: which may wait, and for how long.
 
 The queue is bounded, and lower classes get only a part of it.  Callers from a platform are told to
 retry before they would give up by themselves; a task whose model is being loaded already waits
@@ -21,12 +21,13 @@
     "wait_for_place",
 ]
 
-# Fractions of a task's time that it waits for a place, for its model, and for its model while
-# an engine is loading it.
+# The longest waits as fractions of a task's time: for a place (of the time that remains), for its
+# model, and for its model while an engine is loading it (of the whole time).
 _PLACE_FRACTION = 0.4
 _QUEUE_FRACTION = 0.45
 _LOADING_FRACTION = 0.8
-# Likewise, fractions of the time after which its caller would give up.
+# The longest waits as fractions of the time after which the caller would give up: for a place or
+# a model, and for a model while an engine is loading it.
 _PATIENCE_FRACTION = 0.75
 _LOADING_PATIENCE_FRACTION = 0.9
 
@@ -38,7 +39,7 @@
 
 
 def _patience_ends_ms(task, fraction):
-    """When this fraction of the caller's patience is used up."""
+    """The time at which this fraction of the time that the caller waits is used up."""
     return task.since_ms + fraction * task.patience_ms
 
 
@@ -65,7 +66,7 @@
     task.give_up_ms = _give_up_ms(task, now_ms)
 
 
-def hold_for_model(floor, task, now_ms):
+def hold_for_model(cluster, task, now_ms):
     """Have a task wait for its model; returns the Hold for the lease holder of its service's
     shard."""
     task.waiting = True
@@ -78,7 +79,7 @@
         "class": task.cls,
         "waitMs": int(task.give_up_ms - now_ms),
     }
-    return Hold("hold", registry_view.shard_of(task.service, floor.shards), body)
+    return Hold("hold", registry_view.shard_of(task.service, cluster.shards), body)
 
 
 def in_order(router):
@@ -89,18 +90,18 @@
     )
 
 
-def dropped_by_holder(floor, task):
+def dropped_by_holder(cluster, task):
     """(cause, retry delay) if the lease holder has dropped the task from its queue, else None."""
-    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
+    ledger = cluster_state.ledger_of(cluster, registry_view.shard_of(task.service, cluster.shards))
     if task.id in ledger.holds:
         task.was_queued = True
         return None
     return ledger.told.get(task.id, ("no-room", 5000) if task.was_queued else None)
 
 
-def loading_deadline_ms(floor, task):
+def loading_deadline_ms(cluster, task):
     """Until when a task may wait for a model that an engine is already loading."""
-    ledger = cluster_state.ledger_of(floor, registry_view.shard_of(task.service, floor.shards))
+    ledger = cluster_state.ledger_of(cluster, registry_view.shard_of(task.service, cluster.shards))
     item = item_name(task.model, task.adapter)
     if not task.from_platform or not ledgers.is_loading(ledger, {task.model, item}):
         return task.give_up_ms
