--- a/libs/routing/src/routing/caller_api.py
+++ b/libs/routing/src/routing/caller_api.py
@@ -3,11 +3,11 @@
     POST /v1/task            {"service", "model", "adapter"?, "class"?, "prompt",
                               "stream"?, "deadlineMs"?, "id"?}
     POST /v1/route/<name>    the same, service and model taken from the layout
-    GET  /v1/lookup/<service>/<key>     tiles and receipts; safe to repeat
+    GET  /v1/lookup/<service>/<key>     a lookup at a service without models; safe to repeat
 
 Responses are JSON.  Streams are server-sent events with one numbered piece each,
-ended by an event `done`.  A stream that is cut sends an event `failure` and then
-closes the connection, so that it never looks complete.
+ended by an event `done`.  A stream that is cut ends with an event `failure`, and
+the connection is closed, so that it never looks complete.
 """
 
 import json
@@ -28,7 +28,7 @@
 ]
 
 LIMIT_BYTES = 1 << 20
-_KEYS = {"service", "model", "adapter", "class", "prompt", "stream", "deadlineMs", "id"}
+_TASK_FIELDS = {"service", "model", "adapter", "class", "prompt", "stream", "deadlineMs", "id"}
 
 
 def read_body(request, limitBytes=LIMIT_BYTES):
@@ -51,7 +51,7 @@
     """The fields of a task from a caller's body, or a Failure that names the wrong field.  Service
     and model come from `route` if it is given."""
     for key in body:
-        if key not in _KEYS:
+        if key not in _TASK_FIELDS:
             return failures.FieldWrong(key, "unknown key")
     task = {**body, **{k: v for k, v in (route or {}).items() if v}}
     for key, default in (
@@ -71,11 +71,11 @@
         return failures.FieldWrong("id", "longer than 128")
     if not isinstance(task.setdefault("stream", False), bool):
         return failures.FieldWrong("stream", "not true or false")
-    limit_ms = task.setdefault("deadlineMs", deadlineMs)
+    deadline_ms = task.setdefault("deadlineMs", deadlineMs)
     if (
-        not isinstance(limit_ms, int)
-        or isinstance(limit_ms, bool)
-        or not 1 <= limit_ms <= 3_600_000
+        not isinstance(deadline_ms, int)
+        or isinstance(deadline_ms, bool)
+        or not 1 <= deadline_ms <= 3_600_000
     ):
         return failures.FieldWrong("deadlineMs", "not a whole number from 1 to 3600000")
     task["id"] = ".".join(filter(None, (task["id"], secrets.token_hex(8))))
@@ -115,8 +115,8 @@
 
 def sse_event(kind, body, number=None):
     """One server-sent event as bytes; `number` becomes its id."""
-    head = f"id: {number}\n" if number is not None else ""
-    return f"{head}event: {kind}\ndata: {json.dumps(body)}\n\n".encode()
+    id_line = f"id: {number}\n" if number is not None else ""
+    return f"{id_line}event: {kind}\ndata: {json.dumps(body)}\n\n".encode()
 
 
 def stream_response(chunks):
--- a/libs/routing/src/routing/cold_engines.py
+++ b/libs/routing/src/routing/cold_engines.py
@@ -1,7 +1,7 @@
 """Cold engines: slow after their start, with a warm-up rate set in the layout.
 
 While an engine is cold, all routing nodes (counters) together keep to that rate:
-each has a part of it and a bucket of one token.  If there are more nodes than the
+each gets a part of it and a token bucket that holds one token.  If there are more nodes than the
 rate can be divided among, a hash of the engine's name selects those that may send.
 An engine is cold for as long as the platform reports, and for the whole warm-up
 after an evacuation, because the platform may not have reported it yet.
@@ -44,23 +44,23 @@
 
 
 def _rate(engine, service, nodes):
-    """(this node's requests a second, size of its bucket) for a cold engine."""
+    """(requests a second, bucket capacity) of this node for a cold engine."""
     per_s, count = service["warmPerS"], max(1, len(nodes.names))
     senders = max(1, int(_NODES_PER_RATE * per_s) + _MIN_NODES)
     if count <= senders:
         return 0.9 * per_s / count, 1.0
-    mine = weight(engine["name"], nodes.own_name)
+    own_weight = weight(engine["name"], nodes.own_name)
     hash_rank = sum(
-        1 for n in nodes.names if n != nodes.own_name and weight(engine["name"], n) > mine
+        1 for n in nodes.names if n != nodes.own_name and weight(engine["name"], n) > own_weight
     )
     return (0.9 * per_s / senders, 1.0) if hash_rank < senders else (0.0, 0.0)
 
 
 def _tokens(router, now_ms, engine, service, nodes):
     """The tokens that this node has for a cold engine now."""
-    per_s, most = _rate(engine, service, nodes)
-    tokens, at_ms = router.cold_tokens.get(engine["name"], (most, now_ms))
-    return min(most, tokens + (now_ms - at_ms) * per_s / 1000)
+    per_s, capacity = _rate(engine, service, nodes)
+    tokens, at_ms = router.cold_tokens.get(engine["name"], (capacity, now_ms))
+    return min(capacity, tokens + (now_ms - at_ms) * per_s / 1000)
 
 
 def take_token(router, now_ms, engine, service, nodes, peek=False):
--- a/libs/routing/src/routing/connection_pool.py
+++ b/libs/routing/src/routing/connection_pool.py
@@ -1,7 +1,7 @@
 """A pool of idle connections to engines, each used by one attempt at a time.
 
 A connection is released to the pool only after a complete response to its own request, with
-nothing left over; in any doubt it is closed.  It isn't used again once it has been idle for longer
+no bytes left over; otherwise it is closed.  It isn't used again once it has been idle for longer
 than the engine keeps it, or if anything can be read from it.  A request that must not run twice
 never uses a pooled connection, because a request lost on a connection that the engine has just
 closed can't be told from one that ran.
@@ -47,7 +47,8 @@
         self._swept_s = time.monotonic()
 
     def acquire(self, base, fresh):
-        """(connection, whether it comes from the pool) for an address; always new with `fresh`."""
+        """(connection, whether it comes from the pool) for the address `base`; always new with
+        `fresh`."""
         while not fresh:
             with self._lock:
                 kept = self._idle.get(base)
@@ -70,16 +71,16 @@
         with self._lock:
             kept = self._idle.setdefault(base, [])
             kept.append(connection)
-            old = [kept.pop(0)] if len(kept) > _MAX_IDLE else []
-            old += self._expired(time.monotonic())
-        for connection in old:
+            to_close = [kept.pop(0)] if len(kept) > _MAX_IDLE else []
+            to_close += self._expired(time.monotonic())
+        for connection in to_close:
             connection.close()
 
     def close_expired(self):
         """Close expired connections, at most once in `_SWEEP_S` seconds."""
         with self._lock:
-            old = self._expired(time.monotonic())
-        for connection in old:
+            to_close = self._expired(time.monotonic())
+        for connection in to_close:
             connection.close()
 
     def _expired(self, now_s):
--- a/libs/routing/src/routing/dialect.py
+++ b/libs/routing/src/routing/dialect.py
@@ -1,8 +1,8 @@
-"""The interface between the product and a platform with HTTP shapes of its own.
+"""The functions that adapt the router to a platform's own HTTP interface.
 
-The product has an HTTP interface of its own (`caller_api`, `engine_api`).  On a platform
-with other shapes, the platform's adapter supplies the functions of a `Dialect` instead.
-They translate names, formats and calls and make no decisions.
+The product has its own HTTP interface (`caller_api`, `engine_api`).  For a platform with a
+different one, the platform's adapter supplies the functions of a `Dialect` instead.  They
+translate names, formats and calls and make no decisions.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Dialect:
-    """`reader`: a `manifest.written.Reader`.
+    """`reader`: a `configuration.documents.Reader`.
 
     engine_request(url, verb, body) -> engine_api.EngineRequest of a load, unload, report or list
     read_engine_response(verb, body, code, data) -> dict that the placer understands
--- a/libs/routing/src/routing/engine_api.py
+++ b/libs/routing/src/routing/engine_api.py
@@ -2,12 +2,12 @@
 
     POST /load, /unload   an order; 202 accepted, 409 refused
     GET  /report          {"incarnation", "roomMb", "adapterPlaces", "items"}
-    POST /task            a task; answered by JSON, or by one JSON piece a line for a stream
+    POST /task            a task; the response is JSON, for a stream one JSON piece a line
     POST /resume          {"task", "run", "incarnation", "from"}: the rest of a run
-                          whose first piece said "resumes"
+                          whose first piece had "resumes": true
     GET  /lookup/<key>    a lookup at an engine without models
 
-A body {"refused": ...} is the engine's statement that the task has not run.
+A response {"refused": ...} is the engine's assurance that the task has not run.
 """
 
 import json
--- a/libs/routing/src/routing/engine_calls.py
+++ b/libs/routing/src/routing/engine_calls.py
@@ -1,5 +1,5 @@
-"""HTTP calls to engines with a connection of their own, closed afterwards, so that no bytes of one
-response can be read as part of another."""
+"""HTTP calls to engines, each on a new connection that is closed afterwards, so that no bytes of
+one response can be read as part of another."""
 
 import time
 from dataclasses import dataclass, replace
@@ -10,14 +10,14 @@
 
 __all__ = ["AttemptEnd", "call", "stream"]
 
-_WAIT_S = 0.25
-_LIMIT_BYTES = 8 << 20
+_MAX_POLL_S = 0.25
+_MAX_RESPONSE_BYTES = 8 << 20
 
 
 @dataclass(frozen=True)
 class AttemptEnd:
     """How an attempt ended.  `code` is the status, 0 if there was no complete response;
-    `request_sent` says whether at least one byte of the request was sent; `head` is the head of
+    `request_sent`: whether at least one byte of the request was sent; `head` is the head of
     the response to a call, None if there was none."""
 
     code: int
@@ -28,6 +28,7 @@
 
 
 def _curl(request, timeout_ms, headers=()):
+    """A curl handle for one request on a new connection."""
     curl = pycurl.Curl()
     curl.setopt(pycurl.URL, request.url)
     curl.setopt(pycurl.NOSIGNAL, 1)
@@ -44,14 +45,14 @@
 
 
 def call(request, timeout_ms, connect_ms=500, not_after_ms=None, headers=()):
-    """One call whose response is read whole.  It isn't sent after `not_after_ms`."""
+    """Make a request and read its response whole.  It isn't sent after `not_after_ms`."""
     chunks, size = [], 0
 
     def keep(data):
         nonlocal size
         size += len(data)
         chunks.append(data)
-        return len(data) if size <= _LIMIT_BYTES else 0
+        return len(data) if size <= _MAX_RESPONSE_BYTES else 0
 
     curl = _curl(request, timeout_ms, headers)
     curl.setopt(pycurl.WRITEFUNCTION, keep)
@@ -80,7 +81,7 @@
                 ended = AttemptEnd(0, b"", False, TIMED_OUT)
             elif active:
                 yield None
-                multi.select(connect_timeout.wait_s(_WAIT_S))
+                multi.select(connect_timeout.wait_s(_MAX_POLL_S))
         yield ended
     finally:
         multi.remove_handle(curl)
@@ -91,8 +92,8 @@
 def stream(request, timeout_ms, connect_ms=500):
     """Yield ("head", code), ("data", bytes)..., ("idle", None)..., then ("end", AttemptEnd).
 
-    Nothing is read from the engine while the caller takes no pieces, so a slow caller slows down
-    its own stream and nothing is buffered here.
+    Nothing is read from the engine while the consumer of this generator takes no events, so a slow
+    caller slows down its own stream and nothing is buffered here.
     """
     chunks, has_head = [], False
     curl = _curl(request, timeout_ms)
--- a/libs/routing/src/routing/proxying.py
+++ b/libs/routing/src/routing/proxying.py
@@ -18,22 +18,22 @@
 
 __all__ = ["ResponseHead", "stream", "call"]
 
-_WAIT_S = 0.25
-_LIMIT_BYTES = 8 << 20
+_MAX_POLL_S = 0.25
+_MAX_RESPONSE_BYTES = 8 << 20
 _NO_TIMEOUT_MS = 1e12
 # The first status of a final response; those below are interim.
 _FIRST_FINAL_STATUS = 200
-# Prefixes of the addresses under which connections of reports and of orders are pooled.  They
-# are kept apart from each other and from those of callers' requests, since the responses to
+# Prefixes of the pool's addresses for connections that carry reports and orders.  They keep these
+# connections apart from each other and from those of callers' requests, since the responses to
 # reports and orders carry no id.
-_REPORTS, _ORDERS = "report ", "order "
+_REPORT_PREFIX, _ORDER_PREFIX = "report ", "order "
 _SAFE_METHODS = ("GET", "HEAD")
 
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """The head of an engine's final response.  `kept` says that the connection had carried another
-    request before, so the response may belong to that one."""
+    """The head of an engine's final response.  `kept`: the connection came from the pool, so
+    the response may belong to an earlier request."""
 
     code: int
     reason: str
@@ -88,35 +88,35 @@
 
 
 class _ResponseReader:
-    """Collects the response of one transfer.  Interim responses are dropped, and a head counts
-    once its last line has arrived."""
+    """Collects the response of one transfer.  Interim responses are dropped, and a head is returned
+    only once it is complete."""
 
     def __init__(self):
         self.chunks = []
-        self._lines, self._whole = [], False
+        self._lines, self._is_complete = [], False
 
     def on_header(self, line):
-        """Take one header line from curl."""
+        """Add one status or header line; curl calls this."""
         text = line.decode("latin1").rstrip("\r\n")
         if text.startswith("HTTP/"):
-            self._lines, self._whole = [text], False
+            self._lines, self._is_complete = [text], False
         elif text:
             self._lines.append(text)
         else:
-            self._whole = True
+            self._is_complete = True
 
     def head(self, kept):
         """The final response's head, or None until it is complete."""
-        if not self._whole:
+        if not self._is_complete:
             return None
         head = _head(self._lines, kept)
         return head if head.code >= _FIRST_FINAL_STATUS else None
 
 
 def stream(pool, base, request, timeout_ms, connect_ms, fresh, silent_ms=None):
-    """The events of one attempt; closing the generator aborts it.  If no head has come after
-    `silent_ms`, yields ("silent", None) once.  `base` is the address under which the connection is
-    pooled afterwards, or None.  With `fresh`, no pooled connection is used."""
+    """Yield the events of one attempt; closing the generator aborts it.  If no head has come after
+    `silent_ms`, ("silent", None) is yielded once.  `base` is the address under which the
+    connection is pooled afterwards, or None.  With `fresh`, no pooled connection is used."""
     connection, kept = pool.acquire(base, fresh)
     ended = yield from _exchange(
         pool, base, connection, kept, request, timeout_ms, connect_ms, silent_ms
@@ -156,8 +156,9 @@
 
 
 def _bind(curl, reader, kept):
-    """Connect curl to the reader.  A pooled connection must not be replaced by a second one: curl
-    would repeat a request without a body if the first broke before a response."""
+    """Have curl pass the response to the reader.  curl must not replace a pooled connection by
+    a new one: it would repeat a request without a body if the pooled one broke before a
+    response."""
     curl.setopt(pycurl.HEADERFUNCTION, reader.on_header)
     curl.setopt(pycurl.WRITEFUNCTION, reader.chunks.append)
     if kept:
@@ -169,7 +170,7 @@
 def _transfer(curl, multi, reader, kept, connect_timeout, silent_ms):
     """Yield the events of a transfer; returns (head, AttemptEnd)."""
     head = None
-    silent_s = time.monotonic() + (silent_ms if silent_ms else _NO_TIMEOUT_MS) / 1000
+    silence_end_s = time.monotonic() + (silent_ms if silent_ms else _NO_TIMEOUT_MS) / 1000
     while True:
         connect_timeout.before_poll()
         _, active = multi.perform()
@@ -189,10 +190,12 @@
         if not active:
             continue
         now_s = time.monotonic()
-        if head is None and now_s >= silent_s:
-            silent_s = float("inf")
+        if head is None and now_s >= silence_end_s:
+            silence_end_s = float("inf")
             yield "silent", None
-        wait_s = min(_WAIT_S, max(0.001, silent_s - now_s)) if head is None else _WAIT_S
+        wait_s = (
+            min(_MAX_POLL_S, max(0.001, silence_end_s - now_s)) if head is None else _MAX_POLL_S
+        )
         multi.select(connect_timeout.wait_s(wait_s))
         yield "idle", None
 
@@ -205,19 +208,22 @@
 
 
 def call(pool, request, timeout_ms, not_after_ms=None):
-    """One call of this node itself (a report or an order) whose response is read whole.  It isn't
-    sent after `not_after_ms`.  Responses to calls carry no id, so calls share no connections with
-    callers' requests, where a surplus response may still arrive, nor orders with reports."""
+    """Make a request of this node itself (a report or an order) and read its response whole.  It
+    isn't sent after `not_after_ms`.  The responses carry no id, so these requests share no
+    connections with callers' requests, where an unexpected response may still arrive, nor orders
+    with reports."""
     if not_after_ms is not None and time.monotonic() * 1000 > not_after_ms:
         return AttemptEnd(0, b"", False, "late")
-    base = (_REPORTS if request.method in _SAFE_METHODS else _ORDERS) + _split_url(request.url)[0]
+    base = (_REPORT_PREFIX if request.method in _SAFE_METHODS else _ORDER_PREFIX) + _split_url(
+        request.url
+    )[0]
     chunks, head, ended = [], None, AttemptEnd(0, b"", False, "none")
     for kind, value in stream(pool, base, request, timeout_ms, timeout_ms / 2, False):
         if kind == "head":
             head = value
         elif kind == "data":
             chunks.append(value)
-            if sum(map(len, chunks)) > _LIMIT_BYTES:
+            if sum(map(len, chunks)) > _MAX_RESPONSE_BYTES:
                 return AttemptEnd(0, b"", True, "oversized")
         elif kind == "end":
             ended = value
--- a/libs/routing/src/routing/refusal_log.py
+++ b/libs/routing/src/routing/refusal_log.py
@@ -1,8 +1,8 @@
 """Log lines that explain why no engine could take a request.
 
-The caller is told only that nothing is free; the log line lists what this router knew of each
-engine of the service at that moment.  At most one line is written per interval.  Refusals in
-between are only counted, so that no work is spent on them.
+The response to the caller says only that no engine is free; the log line lists what this router
+knew of each engine of the service at that moment.  At most one line is written per interval.
+Refusals in between are only counted, so that no work is spent on them.
 """
 
 from configuration import registry as registries
@@ -80,5 +80,5 @@
 
 
 def _whole_ms(span_ms):
-    """A duration as a whole number, limited so that "for ever" fits too."""
+    """A duration in whole ms, capped, since an engine may be avoided for ever."""
     return round(max(0.0, min(span_ms, _MAX_MS)))
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -1,9 +1,9 @@
 """Relays one platform request: attempts until one gives a response, then the response.
 
-Runs on the request's own thread.  It asks the node's event loop what to do (`ask`), does it, and
-reports how it ended.  A response is passed on only if it is the engine's own response to this very
-request.  Of a stream that another engine may resume, only complete events are passed on, so that
-the rest joins exactly where the first part ended.
+Runs on the request's own thread.  It gets each decision from the node's event loop (`ask`),
+carries it out and reports the outcome.  A response is passed on only if the engine sent it to this
+very request.  If another engine may resume a stream, only complete events are passed on, so that
+the resumed stream continues exactly after the last one.
 """
 
 import time
@@ -18,7 +18,8 @@
 
 __all__ = ["RequestRelay"]
 
-# A repeatable request may be sent elsewhere after this part of its target latency without a head.
+# A repeatable request may be sent to another engine if no response head has come within this
+# fraction of its target latency.
 _SILENT_FRACTION = 0.5
 _MIN_SILENT_MS = 250.0
 # Proofs of an attempt whose request has certainly not run.
@@ -35,8 +36,8 @@
         self._dialect, self._connect_ms = dialect, connect_ms
 
     def serve(self, token, request, step, environ):
-        """The response for a caller; `step` is the event loop's first decision.  Whatever goes
-        wrong on the way, the event loop is told that the task is over."""
+        """The response for a caller; `step` is the event loop's first decision.  If this fails with
+        any exception, the event loop is told that the task is over."""
         sock = environ.get("werkzeug.socket")
 
         def has_left():
@@ -54,7 +55,7 @@
 
     def _serve(self, token, request, step, has_left):
         """Follow the event loop's decisions until there is a response."""
-        last, may_have_run = None, False
+        last_response, may_have_run = None, False
         while isinstance(step, Attempt):
             if has_left():
                 self._report_departed(token)
@@ -72,12 +73,12 @@
             if head is not None and not (request["repeatable"] and head.code >= 500):
                 return self._respond(token, request, head, first, source, has_left)
             if head is not None:
-                last = responses.build(request, head, [first])
+                last_response = responses.build(request, head, [first])
             source.close()
             may_have_run = may_have_run or proof not in _NOT_RUN_PROOFS
             step = self._ask(token, "ended", {"proof": proof})
-        if last is not None:
-            return last
+        if last_response is not None:
+            return last_response
         if not isinstance(step, failures.Failure):
             step = failures.OutcomeUnknown("caller-left")
         return self._failure_response(step, may_have_run)
@@ -91,7 +92,8 @@
         return Response(body, status, headers)
 
     def _start_attempt(self, request, attempt, after):
-        """The events of an attempt; a stream is resumed after event `after`."""
+        """The events of a new attempt; a stream is resumed after the event numbered `after`, and
+        starts from the beginning if that is 0."""
         request["end_ms"] = attempt.end_ms
         engine_request = EngineRequest(
             request["method"],
@@ -117,7 +119,8 @@
 
     def _await_head(self, token, request, source, has_left):
         """(head, first data, proof) of the engine's own response, with head None if there is none.
-        The proof is the next decision itself if the engine's silence has led to one."""
+        If the event loop decided on something else because the engine was silent for long, that
+        decision stands in place of the proof."""
         started_s = time.monotonic()
         for kind, value in source:
             if kind == "silent":
@@ -157,7 +160,7 @@
         return None, b"", "unknown"
 
     def _respond(self, token, request, head, first, source, has_left):
-        """The response for the caller, from the engine's response that was found."""
+        """The response for the caller, built from the engine's response."""
         if not responses.is_streamed(request, head):
             source.close()
             proof = "failed" if head.code >= _FIRST_FAILED_STATUS else "done"
@@ -173,18 +176,18 @@
 
     def _stream_events(self, token, request, head, source, has_left):
         """Yield the stream as it arrives; if it breaks, resume it elsewhere if that is allowed."""
-        proof, held, last = "gone", bytearray(), 0
-        whole = request["resumable"] and head.code == 200
+        proof, buffer, last_event = "gone", bytearray(), 0
+        whole_events = request["resumable"] and head.code == 200
         try:
             while True:
                 ended = None
                 for kind, value in source:
                     if kind == "data":
-                        if not whole:
+                        if not whole_events:
                             yield value
                             continue
-                        held += value
-                        out, last = self._take_whole_events(held, last)
+                        buffer += value
+                        out, last_event = self._take_whole_events(buffer, last_event)
                         if out:
                             yield out
                     elif kind == "idle" and has_left():
@@ -193,48 +196,50 @@
                         ended = value
                 if ended is not None and ended.code:
                     proof = "done"
-                    if held:
-                        yield bytes(held)
+                    if buffer:
+                        yield bytes(buffer)
                     return
                 source, head = self._resume_elsewhere(
                     token,
                     request,
-                    attempts.broken_stream_proof(ended, request, whole),
-                    last,
+                    attempts.broken_stream_proof(ended, request, whole_events),
+                    last_event,
                     has_left,
                 )
                 if source is None:
                     proof = ""
                     raise responses.ResponseAborted("stream")
-                held.clear()
+                buffer.clear()
         finally:
             if source is not None:
                 source.close()
             if proof:
                 self._ask(token, "ended", {"proof": proof})
 
-    def _take_whole_events(self, held, last):
-        """Take complete events off `held`, and drop those already passed on."""
+    def _take_whole_events(self, buffer, last_event):
+        """Remove the complete events from `buffer`; returns those not yet passed on, joined, and
+        the number of the last one."""
         out = bytearray()
-        while (end := held.find(b"\n\n")) >= 0:
-            event = bytes(held[: end + 2])
-            del held[: end + 2]
+        while (end := buffer.find(b"\n\n")) >= 0:
+            event = bytes(buffer[: end + 2])
+            del buffer[: end + 2]
             number = self._dialect.event_id(event)
-            if number is not None and number <= last:
+            if number is not None and number <= last_event:
                 continue
-            last = number if number is not None else last
+            last_event = number if number is not None else last_event
             out += event
-        return bytes(out), last
+        return bytes(out), last_event
 
-    def _resume_elsewhere(self, token, request, proof, last, has_left):
-        """(source, head) of an attempt at another engine that resumes after event `last`."""
+    def _resume_elsewhere(self, token, request, proof, last_event, has_left):
+        """(source, head) of an attempt at another engine that resumes after the event numbered
+        `last_event`; (None, None) if there is none."""
         step = self._ask(token, "ended", {"proof": proof})
         while isinstance(step, Attempt):
             attempt = None if has_left() else attempts.with_time_left(step)
             if attempt is None:
                 self._report_departed(token)
                 break
-            source = self._start_attempt(request, attempt, last)
+            source = self._start_attempt(request, attempt, last_event)
             head, _, proof = self._await_head(token, request, source, has_left)
             if isinstance(proof, (Attempt, failures.Failure)):
                 source.close()
--- a/libs/routing/src/routing/responses.py
+++ b/libs/routing/src/routing/responses.py
@@ -37,8 +37,8 @@
 
 
 class ResponseAborted(ConnectionError):
-    """Raised inside a streamed body to close the connection, so that a cut response doesn't look
-    complete."""
+    """Raised while a streamed body is being sent, to close the connection, so that a cut response
+    doesn't look complete."""
 
 
 class _EngineResponse(Response):
--- a/libs/routing/src/routing/retry_budget.py
+++ b/libs/routing/src/routing/retry_budget.py
@@ -1,8 +1,8 @@
 """Limits retries to a fraction of a service's own requests.
 
 Each service has its own budget, since the limit holds for each service: requests for one service
-must not pay for retries at another whose engines fail.  Every router keeps to its share of what
-all of them together may spend.
+must not pay for retries at another whose engines fail.  Every router keeps to its share of the
+allowance of all routers.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 @dataclass
 class RetryBudget:
-    """Decaying counts of requests and of attempts beyond their first."""
+    """Decaying counts of a service's requests and of its retries."""
 
     requests: float = 0.0
     retries: float = 0.0
--- a/libs/routing/src/routing/routes.py
+++ b/libs/routing/src/routing/routes.py
@@ -36,9 +36,9 @@
     if len(split) == 1:
         return split[0]["service"]
     digest = hashlib.blake2b(id_.encode(), digest_size=8).digest()
-    point = int.from_bytes(digest, "big") / 2**64 * sum(s["weight"] for s in split)
+    position = int.from_bytes(digest, "big") / 2**64 * sum(s["weight"] for s in split)
     for share in split:
-        point -= share["weight"]
-        if point < 0:
+        position -= share["weight"]
+        if position < 0:
             return share["service"]
     return split[-1]["service"]
--- a/libs/routing/src/routing/serving.py
+++ b/libs/routing/src/routing/serving.py
@@ -1,7 +1,8 @@
-"""Handles one task of the product's own interface, from HTTP request to response.
+"""Handles one task of the product's own HTTP interface, from request to response.
 
-Runs on the request's own thread.  It asks the node's event loop what to do, does that one thing,
-reports how it ended, and asks again.  The event loop decides; this thread owns the sockets.
+Runs on the request's own thread.  It gets each decision from the node's event loop, carries it out
+and reports the outcome, which leads to the next decision.  Only the event loop decides, and only
+this thread uses the sockets of the task.
 """
 
 from transport import failures
@@ -25,8 +26,8 @@
         self._connect_ms = connect_ms
 
     def serve(self, token, request, step, environ):
-        """The response for a caller; `step` is the event loop's first decision.  Whatever goes
-        wrong on the way, the event loop is told that the task is over."""
+        """The response for a caller; `step` is the event loop's first decision.  If this fails with
+        any exception, the event loop is told that the task is over."""
         try:
             return self._serve(token, request, step, _departure_check(environ))
         except BaseException:
@@ -47,7 +48,7 @@
         return _failure_response(step, may_have_run)
 
     def _call_engine(self, request, attempt):
-        """Make an attempt at a whole response: (response or None, proof)."""
+        """Make an attempt whose response is read whole: (response or None, proof)."""
         ended = engine_calls.call(
             engine_api.task_request(attempt.url, request), attempt.timeout_ms, self._connect_ms
         )
@@ -67,7 +68,7 @@
         ), "done"
 
     def _stream(self, token, request, attempt, has_left):
-        """Find an attempt whose first piece is valid, then pass its pieces on."""
+        """Make attempts until one has a valid first piece, then pass its pieces on."""
         may_have_run = False
         while isinstance(attempt, Attempt):
             source = engine_calls.stream(
@@ -87,7 +88,7 @@
         return _failure_response(attempt, may_have_run)
 
     def _pass_on(self, token, run, forward, incoming, source, has_left):
-        """Yield the events of a stream; resumes the run if its connection breaks."""
+        """Yield the server-sent events of a stream; a run whose connection breaks is resumed."""
         proof = "gone"
         try:
             while True:
@@ -115,7 +116,8 @@
             self._ask(token, "ended", {"proof": "done" if proof == "done" else "gone"})
 
     def _resume_run(self, token, run):
-        """The rest of the same run from the same engine, if the event loop allows it."""
+        """The events of the rest of the same run at the same engine; None if the event loop doesn't
+        allow it."""
         attempt = self._ask(token, "resume", {"incarnation": run.incarnation})
         if not isinstance(attempt, Attempt):
             return None
@@ -133,8 +135,8 @@
 
 
 class _ResponseAborted(ConnectionError):
-    """Raised inside a body in chunks to close the connection, so that a cut response doesn't look
-    complete."""
+    """Raised while a streamed body is being sent, to close the connection, so that a cut response
+    doesn't look complete."""
 
 
 def _pieces(source, run, has_left):
@@ -169,6 +171,6 @@
 
 
 def _departure_check(environ):
-    """A function that says whether the caller has closed its end of the connection."""
+    """A function that returns whether the caller has closed its end of the connection."""
     sock = environ.get("werkzeug.socket")
     return lambda: sock is not None and closed_by_peer(sock)
--- a/libs/routing/src/routing/tenants.py
+++ b/libs/routing/src/routing/tenants.py
@@ -31,7 +31,8 @@
 
 @dataclass(frozen=True)
 class Credential:
-    """What a caller's request shows of its sender.  `public`: the route requires no key."""
+    """What identifies the sender of a request: the digest of its API key.  `public`: the route
+    requires no key."""
 
     key_digest: bytes
     public: bool
@@ -70,11 +71,12 @@
 
 
 def _digest_of_text(key):
+    """The digest of a key as it stands in the configuration."""
     return digest(key.encode("utf-8", "surrogatepass"))
 
 
 def _holders(registry):
-    """{digest: holder} of all keys; an empty key is held by nobody."""
+    """{digest: holder} of all keys; empty keys are ignored."""
     if _INDEX not in registry.memo:
         registry.memo[_INDEX] = {
             _digest_of_text(key): _Holder(name, facts.get("rank"))
