--- a/libs/quotas/src/quotas/bucket.py
+++ b/libs/quotas/src/quotas/bucket.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Bucket:
-    """Held `tokens` tokens at `filled_ms`."""
+    """A bucket that held `tokens` tokens at `filled_ms`."""
 
     tokens: float
     filled_ms: float
--- a/libs/quotas/src/quotas/demand.py
+++ b/libs/quotas/src/quotas/demand.py
@@ -21,7 +21,7 @@
 
 
 def count(demand, now_ms):
-    """Count a request."""
+    """The demand with one more request."""
     return Demand(_decayed(demand, now_ms) + 1.0, now_ms)
 
 
--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -22,7 +22,8 @@
 _PROBE_INTERVAL_MS = 1000.0
 # How long a depot's report of its remaining tokens is used.
 _REPORT_VALID_MS = 1000.0
-# A request times out after this multiple of the time that the depot's last answer took.
+# A request times out after this multiple of the time that the depot's last answer took, if that
+# is longer than the usual timeout.
 _TIMEOUT_PER_DELAY = 1.5
 _MAX_ANSWER_TIMEOUT_MS = 750.0
 
@@ -47,7 +48,7 @@
 
 
 def update(depots, addresses):
-    """Take over the depots of the current membership."""
+    """Set the known depots to those of the current membership."""
     current = tuple(sorted(addresses))
     if current == depots.addresses:
         return
@@ -63,7 +64,7 @@
 
 
 def note_answer(depots, address, granting, now_ms):
-    """A depot has answered and said whether it grants tokens."""
+    """Note whether a depot that has answered grants tokens."""
     if granting:
         depots.probe_at_ms.pop(address, None)
     else:
--- a/libs/quotas/src/quotas/grant_shares.py
+++ b/libs/quotas/src/quotas/grant_shares.py
@@ -6,9 +6,9 @@
   by a majority reached it within the quorum timeout.  A depot that was removed without knowing
   it stops then.
 - After each start, a new member grants nothing for one quorum timeout after it first saw itself
-  among the members.  A founder doesn't wait, since it replaced nobody, unless it has seen a
-  membership without itself.  In the incarnation in which it founded the group its buckets are
-  full, since nothing has ever been granted.
+  among the members.  A founder doesn't wait, since it replaced no other depot, unless it has
+  seen a membership without itself.  In the incarnation in which it founded the group its buckets
+  are full, since nothing has ever been granted.
 - Fewer members mean larger parts, but a removed member may still grant its old part: for one
   quorum timeout, the largest membership seen counts.  A depot that has just restarted assumes
   that the membership had one more member before.
@@ -39,9 +39,9 @@
 
 @dataclass
 class GrantEligibility:
-    """What decides a depot's share.  `restarted`: its storage held a group when it started.
-    `expected_members`: the configured size of the group.  `removed`: it has seen a membership
-    without itself since it started."""
+    """The state from which a depot's share is computed.  `restarted`: its storage held a group when
+    it started.  `expected_members`: the configured size of the group.  `removed`: it has seen a
+    membership without itself since it started."""
 
     identity: str
     quorum_timeout_ms: float
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -1,10 +1,10 @@
 """The spending side at a node that admits requests: tokens are requested, leased and spent.
 
 A request takes a token that is already leased here, or waits in its tenant's queue while a depot
-is asked.  It is refused once all granting depots are known to have no token.  A lease ends on this
-node's own clock, counted from before its request was sent, so neither a late answer nor a pause of
-this node extends it.  Only requests that had arrived before the lease was requested may use its
-tokens later: they were granted while those requests waited.
+is asked.  It is refused once all granting depots are known to have no token.  The time of a lease
+runs on this node's own clock from before its request was sent, so neither a late answer nor a pause
+of this node extends it.  Only requests that had arrived before the lease was requested may use its
+tokens after its end: the tokens were granted while those requests waited.
 """
 
 from collections import deque
@@ -35,7 +35,8 @@
 
 
 def request_token(state, now_ms, limit, token):
-    """A request of a limited tenant has come in: Granted, Refused or Pending."""
+    """Decide on a new request of a tenant with a rate limit: Granted, Refused or Pending.  `token`
+    identifies the request."""
     tenant = _tenant_queue(state, limit)
     tenant.demand = demands.count(tenant.demand, now_ms)
     if not tenant.queue and _spend(tenant, now_ms, now_ms):
@@ -48,7 +49,7 @@
 
 
 def cancel(state, token):
-    """A waiting request is over; no token is spent on it."""
+    """Remove a waiting request that has ended, so that no token is spent on it."""
     for name in list(state.queued):
         tenant = state.tenants[name]
         if any(waiting.token == token for waiting in tenant.queue):
@@ -58,8 +59,9 @@
 
 
 def on_grant(state, now_ms, sender, grant):
-    """A depot has answered.  A second answer, or one from before a restart of this node, adds
-    nothing; a late one is leased until the end that was set when it was requested."""
+    """Handle a depot's answer.  A second answer, or one to a request from before a restart of this
+    node, adds no tokens; those of a late one are leased until the end that was set when they were
+    requested."""
     depot_choice.note_answer(state.depots, sender, grant.granting, now_ms)
     sent = state.sent.pop(grant.number, None)
     if sent is None:
@@ -102,7 +104,8 @@
 
 
 def _update_limit(tenant, limit):
-    """Set the limit.  Reports of depots on another rate or burst are useless from now on."""
+    """Set the limit.  If the rate or burst changed, the depots' reports are dropped, since they are
+    based on the old one."""
     if not _has_same_rate(tenant.limit, limit.rate_per_s, limit.burst):
         tenant.reports.clear()
     tenant.limit = limit
@@ -144,14 +147,14 @@
 
 
 def _refuse(state, tenant, now_ms):
-    """Refuse a request until the next token is due."""
+    """Refuse a request; it may be retried once the next token is due."""
     tenant.refused += 1
     next_ms = depot_choice.next_token_ms(state.depots, tenant.reports, now_ms)
     return Refused(max(1.0, next_ms - now_ms))
 
 
 def _time_out_requests(state, now_ms):
-    """Pass over depots that are late; forget requests whose answer would be useless."""
+    """Pass over depots whose answer is late; drop requests of which no answer could be used."""
     for number, sent in list(state.sent.items()):
         timeout_ms = depot_choice.answer_timeout_ms(
             state.depots, sent.to, state.settings.answer_timeout_ms
@@ -160,11 +163,11 @@
             sent.timed_out = True
             _subtract_requested(state, sent)
             depot_choice.pass_over(state.depots, sent.to, now_ms)
-        if sent.timed_out and _is_useless_by_now(state, sent, now_ms):
+        if sent.timed_out and _is_unusable(state, sent, now_ms):
             del state.sent[number]
 
 
-def _is_useless_by_now(state, sent, now_ms):
+def _is_unusable(state, sent, now_ms):
     """Whether no token of a late answer could be spent any more."""
     if now_ms < _lease_end_ms(state, sent):
         return False
@@ -204,7 +207,7 @@
 
 
 def _requests_due(state, now_ms):
-    """One request to each depot that is asked for tokens now."""
+    """The requests for tokens to send now, one for each depot."""
     wants: dict[str, list[TokenDemand]] = {}
     for name in sorted(state.queued):
         tenant = state.tenants[name]
@@ -224,7 +227,8 @@
 
 
 def _must_pause(state, tenant, now_ms):
-    """While no depot grants, they are tried one after another with a pause in between."""
+    """Whether to wait before the next request: while no depot grants, they are tried one after
+    another with a pause in between."""
     none_grants = depot_choice.none_grants(state.depots)
     return none_grants and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
 
--- a/libs/quotas/src/quotas/spending_state.py
+++ b/libs/quotas/src/quotas/spending_state.py
@@ -66,8 +66,8 @@
 
 @dataclass
 class SentRequest:
-    """A request for tokens that is in flight.  If it has timed out, its answer still counts until
-    the lease would end, or while a request waits for which it was sent."""
+    """A request for tokens that is in flight.  After a timeout its answer is still used until the
+    lease would end, and while a request still waits that had arrived before it was sent."""
 
     to: str
     sent_ms: float
@@ -78,7 +78,8 @@
 @dataclass
 class TenantQueue:
     """A tenant at this node.  `tokens_requested`: tokens in flight for queued requests;
-    `last_request_ms`: when the last request for them was sent."""
+    `last_request_ms`: when the last request for them was sent; `turn`: which depot is next;
+    `reports`: the last DepotReport of each depot."""
 
     limit: quota_settings.RateLimit
     turn: int
