--- a/libs/quotas/src/quotas/bucket.py
+++ b/libs/quotas/src/quotas/bucket.py
@@ -41,7 +41,7 @@
 
 
 def draw(bucket, count):
-    """The bucket without `count` tokens, which must not exceed the whole ones."""
+    """The bucket after `count` tokens were taken, which must be at most `whole_tokens`."""
     left = max(0.0, bucket.tokens - count)
     return Bucket(left, bucket.filled_ms, bucket.capacity, bucket.rate_per_ms)
 
--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -104,20 +104,24 @@
 
 
 def _is_empty(reports, address, now_ms):
+    """Whether a depot reported that its next token is still to come."""
     return address in reports and reports[address].empty_until_ms > now_ms
 
 
 def candidates(depots, reports, turn, now_ms):
-    """The depots that may have tokens, the next in turn first."""
-    known = depots.addresses
+    """The depots that may have tokens, the next in turn first.  Depots that are passed over are
+    left out, unless all are."""
+    addresses = depots.addresses
     if not none_grants(depots):
-        known = tuple(a for a in known if a not in depots.probe_at_ms)
-    start_at = turn % len(known) if known else 0
-    return [a for a in known[start_at:] + known[:start_at] if not _is_empty(reports, a, now_ms)]
+        addresses = tuple(a for a in addresses if a not in depots.probe_at_ms)
+    start_at = turn % len(addresses) if addresses else 0
+    return [
+        a for a in addresses[start_at:] + addresses[:start_at] if not _is_empty(reports, a, now_ms)
+    ]
 
 
 def pick(available, reports, needed, now_ms):
-    """The first candidate that isn't known to have too few tokens, or else the first."""
+    """The first candidate that isn't known to have too few tokens; if all have, the first one."""
     for address in available:
         report = reports.get(address)
         if (
--- a/libs/quotas/src/quotas/granting.py
+++ b/libs/quotas/src/quotas/granting.py
@@ -149,5 +149,6 @@
 
 
 def _is_full(entry, now_ms):
+    """Whether a tenant's bucket is full by now."""
     refilled = buckets.refill(entry.bucket, now_ms)
     return refilled.tokens >= refilled.capacity
--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -117,20 +117,28 @@
 
 def _spend(tenant, now_ms, arrived_ms):
     """Spend a token of the lease that ends first, if one may be used by this request."""
-    tenant.leases = [x for x in tenant.leases if x.tokens > 0 and _is_usable(tenant, x, now_ms)]
-    found = [x for x in tenant.leases if _is_valid(x, now_ms) or arrived_ms <= x.requested_ms]
-    if not found:
+    tenant.leases = [
+        lease for lease in tenant.leases if lease.tokens > 0 and _is_usable(tenant, lease, now_ms)
+    ]
+    usable = [
+        lease
+        for lease in tenant.leases
+        if _is_valid(lease, now_ms) or arrived_ms <= lease.requested_ms
+    ]
+    if not usable:
         return False
-    min(found, key=lambda lease: lease.end_ms).tokens -= 1
+    min(usable, key=lambda lease: lease.end_ms).tokens -= 1
     tenant.spent += 1
     return True
 
 
 def _is_valid(lease, now_ms):
+    """Whether any request may use the lease."""
     return now_ms < lease.end_ms
 
 
 def _is_usable(tenant, lease, now_ms):
+    """Whether any request, or at least a queued one, may use the lease."""
     return _is_valid(lease, now_ms) or _has_request_before(tenant, lease.requested_ms)
 
 
@@ -181,6 +189,7 @@
 
 
 def _subtract_requested(state, sent):
+    """Subtract a request's tokens from those in flight for queued requests."""
     for want in sent.wants:
         state.tenants[want.tenant].tokens_requested -= want.needed
 
@@ -202,6 +211,7 @@
 
 
 def _probe_requests(state, now_ms):
+    """A request without demands to each depot that is to be probed now."""
     due = depot_choice.probes_due(state.depots, now_ms)
     return [LeaseRequest(to, QuotaRequest(_next_number(state), ())) for to in due]
 
@@ -219,7 +229,7 @@
         tenant.turn += 1
         tenant.tokens_requested += needed
         tenant.last_request_ms = now_ms
-        wants.setdefault(to, []).append(_want(state, tenant, now_ms, needed))
+        wants.setdefault(to, []).append(_token_demand(state, tenant, now_ms, needed))
     return [
         _lease_request(state, now_ms, to, tuple(tenant_wants))
         for to, tenant_wants in sorted(wants.items())
@@ -233,8 +243,8 @@
     return none_grants and now_ms - tenant.last_request_ms < state.settings.answer_timeout_ms
 
 
-def _want(state, tenant, now_ms, needed):
-    """The tokens to request for a tenant: those needed now, and some ahead of demand."""
+def _token_demand(state, tenant, now_ms, needed):
+    """The TokenDemand for a tenant: the tokens needed now, and some ahead of demand."""
     limit = tenant.limit
     expected = demands.expected(tenant.demand, now_ms, quota_settings.lease_ms(state.settings))
     ahead = int(expected) if expected >= _LEASE_AHEAD_MIN else 0
@@ -242,6 +252,7 @@
 
 
 def _lease_request(state, now_ms, to, wants):
+    """A new request for tokens, recorded as sent."""
     number = _next_number(state)
     state.sent[number] = SentRequest(to, now_ms, wants)
     return LeaseRequest(to, QuotaRequest(number, wants))
--- a/libs/routing/src/routing/connection_pool.py
+++ b/libs/routing/src/routing/connection_pool.py
@@ -51,8 +51,8 @@
         `fresh`."""
         while not fresh:
             with self._lock:
-                kept = self._idle.get(base)
-                connection = kept.pop() if kept else None
+                idle = self._idle.get(base)
+                connection = idle.pop() if idle else None
             if connection is None:
                 break
             if time.monotonic() < connection.expires_s and _has_nothing_to_read(connection.fd):
@@ -69,9 +69,9 @@
         connection.fd = fd
         connection.curl.reset()
         with self._lock:
-            kept = self._idle.setdefault(base, [])
-            kept.append(connection)
-            to_close = [kept.pop(0)] if len(kept) > _MAX_IDLE else []
+            idle = self._idle.setdefault(base, [])
+            idle.append(connection)
+            to_close = [idle.pop(0)] if len(idle) > _MAX_IDLE else []
             to_close += self._expired(time.monotonic())
         for connection in to_close:
             connection.close()
@@ -89,9 +89,9 @@
         if now_s - self._swept_s < _SWEEP_S:
             return []
         self._swept_s, found = now_s, []
-        for base, kept in list(self._idle.items()):
-            found += [connection for connection in kept if connection.expires_s <= now_s]
-            self._idle[base] = [connection for connection in kept if connection.expires_s > now_s]
+        for base, idle in list(self._idle.items()):
+            found += [connection for connection in idle if connection.expires_s <= now_s]
+            self._idle[base] = [connection for connection in idle if connection.expires_s > now_s]
             if not self._idle[base]:
                 del self._idle[base]
         return found
--- a/libs/routing/src/routing/relaying.py
+++ b/libs/routing/src/routing/relaying.py
@@ -128,10 +128,10 @@
                 if not isinstance(step, KeepWaiting):
                     return None, b"", step
             if kind == "head":
-                verdict = self._dialect.classify_response(request, value)
-                if verdict == "not-run":
+                response_class = self._dialect.classify_response(request, value)
+                if response_class == "not-run":
                     return None, b"", "not-run"
-                if verdict != "ours":
+                if response_class != "ours":
                     return None, b"", "unknown"
                 if responses.is_streamed(request, value):
                     return value, b"", "unknown"
--- a/libs/routing/src/routing/response_framing.py
+++ b/libs/routing/src/routing/response_framing.py
@@ -21,7 +21,7 @@
 def _header_tokens(head, name):
     """The comma-separated tokens of a list header, in lower case."""
     values = ",".join(v for n, v in head.headers if n.lower() == name)
-    return [word.strip().lower() for word in values.split(",") if word.strip()]
+    return [item.strip().lower() for item in values.split(",") if item.strip()]
 
 
 def is_reusable(head):
@@ -36,8 +36,8 @@
 def keep_alive_s(head):
     """The idle timeout that the engine announces in `Keep-Alive`, in seconds; None if it announces
     none."""
-    for word in head.get("keep-alive", "").split(","):
-        name, _, value = word.strip().partition("=")
+    for item in head.get("keep-alive", "").split(","):
+        name, _, value = item.strip().partition("=")
         if name.lower() == "timeout" and value.isascii() and value.isdigit():
             return int(value[:_MAX_DIGITS])
     return None
--- a/libs/routing/src/routing/serving.py
+++ b/libs/routing/src/routing/serving.py
@@ -40,11 +40,11 @@
         while isinstance(step, Attempt):
             if request["stream"]:
                 return self._stream(token, request, step, has_left)
-            found, proof = self._call_engine(request, step)
+            response, proof = self._call_engine(request, step)
             may_have_run = may_have_run or proof not in _NOT_RUN_PROOFS
             step = self._ask(token, "ended", {"proof": proof})
-            if found is not None:
-                return found
+            if response is not None:
+                return response
         return _failure_response(step, may_have_run)
 
     def _call_engine(self, request, attempt):
--- a/libs/routing/src/routing/tasks.py
+++ b/libs/routing/src/routing/tasks.py
@@ -27,9 +27,11 @@
 
     `attempted` lists the engines of all attempts, `current_engine` is that of the one in flight,
     empty if there is none.  `rank` is the class of the route: wait queues, engines' places and
-    loads are divided by it.  `opening` is the start of the prompt.  `turn` is the position in the
-    lease holder's queue, 0 if it is unknown.  `patience_ms` is the time after which the caller
-    would give up.  `tenant_rank` is the class of the tenant, None if the tenant sets none.
+    loads are divided by it.  `opening` is the start of the prompt.  `tokens` holds the token
+    counts that the caller announced, that of the prompt first.  `turn` is the position in the
+    lease holder's queue, 0 if it is unknown.  `aimMs` is the target latency, `patience_ms` the
+    time after which the caller would give up.  `tenant_rank` is the class of the tenant, None if
+    the tenant sets none.
     `credential` is None if no API key is required.  `tenant` names the tenant of the last or next
     attempt, None if there is none.  `awaits_place` and `model_loaded`: the task waits for a place
     here, not in the lease holder's queue for a model.  `from_platform`: came through a platform's
