--- a/libs/quotas/src/quotas/spending.py
+++ b/libs/quotas/src/quotas/spending.py
@@ -118,12 +118,14 @@
 def _spend(tenant, now_ms, arrived_ms):
     """Spend a token of the lease that ends first, if one may be used by this request."""
     tenant.leases = [
-        lease for lease in tenant.leases if lease.tokens > 0 and _is_usable(tenant, lease, now_ms)
+        candidate
+        for candidate in tenant.leases
+        if candidate.tokens > 0 and _is_usable(tenant, candidate, now_ms)
     ]
     usable = [
-        lease
-        for lease in tenant.leases
-        if _is_valid(lease, now_ms) or arrived_ms <= lease.requested_ms
+        candidate
+        for candidate in tenant.leases
+        if _is_valid(candidate, now_ms) or arrived_ms <= candidate.requested_ms
     ]
     if not usable:
         return False
