--- a/libs/quotas/src/quotas/bucket.py
+++ b/libs/quotas/src/quotas/bucket.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Bucket:
-    """Held `tokens` tokens at `filled_ms`."""
+    """A bucket that held `tokens` tokens at `filled_ms`."""
 
     tokens: float
     filled_ms: float
@@ -41,7 +41,7 @@
 
 
 def draw(bucket, count):
-    """The bucket without `count` tokens, which must not exceed the whole ones."""
+    """The bucket after `count` tokens were taken, which must be at most `whole_tokens`."""
     left = max(0.0, bucket.tokens - count)
     return Bucket(left, bucket.filled_ms, bucket.capacity, bucket.rate_per_ms)
 
--- a/libs/quotas/src/quotas/depot_choice.py
+++ b/libs/quotas/src/quotas/depot_choice.py
@@ -22,7 +22,8 @@
 _PROBE_INTERVAL_MS = 1000.0
 # How long a depot's report of its remaining tokens is used.
 _REPORT_VALID_MS = 1000.0
-# A request times out after this multiple of the time that the depot's last answer took.
+# A request times out after this multiple of the time that the depot's last answer took, if that
+# is longer than the usual timeout.
 _TIMEOUT_PER_DELAY = 1.5
 _MAX_ANSWER_TIMEOUT_MS = 750.0
 
@@ -47,7 +48,7 @@
 
 
 def update(depots, addresses):
-    """Take over the depots of the current membership."""
+    """Set the known depots to those of the current membership."""
     current = tuple(sorted(addresses))
     if current == depots.addresses:
         return
@@ -63,7 +64,7 @@
 
 
 def note_answer(depots, address, granting, now_ms):
-    """A depot has answered and said whether it grants tokens."""
+    """Note whether a depot that has answered grants tokens."""
     if granting:
         depots.probe_at_ms.pop(address, None)
     else:
@@ -103,20 +104,24 @@
 
 
 def _is_empty(reports, address, now_ms):
+    """Whether a depot reported that its next token is still to come."""
     return address in reports and reports[address].empty_until_ms > now_ms
 
 
 def candidates(depots, reports, turn, now_ms):
-    """The depots that may have tokens, the next in turn first."""
-    known = depots.addresses
+    """The depots that may have tokens, the next in turn first.  Depots that are passed over are
+    left out, unless all are."""
+    addresses = depots.addresses
     if not none_grants(depots):
-        known = tuple(a for a in known if a not in depots.probe_at_ms)
-    start_at = turn % len(known) if known else 0
-    return [a for a in known[start_at:] + known[:start_at] if not _is_empty(reports, a, now_ms)]
+        addresses = tuple(a for a in addresses if a not in depots.probe_at_ms)
+    start_at = turn % len(addresses) if addresses else 0
+    return [
+        a for a in addresses[start_at:] + addresses[:start_at] if not _is_empty(reports, a, now_ms)
+    ]
 
 
 def pick(available, reports, needed, now_ms):
-    """The first candidate that isn't known to have too few tokens, or else the first."""
+    """The first candidate that isn't known to have too few tokens; if all have, the first one."""
     for address in available:
         report = reports.get(address)
         if (
--- a/libs/routing/src/routing/connection_pool.py
+++ b/libs/routing/src/routing/connection_pool.py
@@ -1,7 +1,7 @@
 """A pool of idle connections to engines, each used by one attempt at a time.
 
 A connection is released to the pool only after a complete response to its own request, with
-nothing left over; in any doubt it is closed.  It isn't used again once it has been idle for longer
+no bytes left over; otherwise it is closed.  It isn't used again once it has been idle for longer
 than the engine keeps it, or if anything can be read from it.  A request that must not run twice
 never uses a pooled connection, because a request lost on a connection that the engine has just
 closed can't be told from one that ran.
@@ -47,11 +47,12 @@
         self._swept_s = time.monotonic()
 
     def acquire(self, base, fresh):
-        """(connection, whether it comes from the pool) for an address; always new with `fresh`."""
+        """(connection, whether it comes from the pool) for the address `base`; always new with
+        `fresh`."""
         while not fresh:
             with self._lock:
-                kept = self._idle.get(base)
-                connection = kept.pop() if kept else None
+                idle = self._idle.get(base)
+                connection = idle.pop() if idle else None
             if connection is None:
                 break
             if time.monotonic() < connection.expires_s and _has_nothing_to_read(connection.fd):
@@ -68,18 +69,18 @@
         connection.fd = fd
         connection.curl.reset()
         with self._lock:
-            kept = self._idle.setdefault(base, [])
-            kept.append(connection)
-            old = [kept.pop(0)] if len(kept) > _MAX_IDLE else []
-            old += self._expired(time.monotonic())
-        for connection in old:
+            idle = self._idle.setdefault(base, [])
+            idle.append(connection)
+            to_close = [idle.pop(0)] if len(idle) > _MAX_IDLE else []
+            to_close += self._expired(time.monotonic())
+        for connection in to_close:
             connection.close()
 
     def close_expired(self):
         """Close expired connections, at most once in `_SWEEP_S` seconds."""
         with self._lock:
-            old = self._expired(time.monotonic())
-        for connection in old:
+            to_close = self._expired(time.monotonic())
+        for connection in to_close:
             connection.close()
 
     def _expired(self, now_s):
@@ -88,9 +89,9 @@
         if now_s - self._swept_s < _SWEEP_S:
             return []
         self._swept_s, found = now_s, []
-        for base, kept in list(self._idle.items()):
-            found += [connection for connection in kept if connection.expires_s <= now_s]
-            self._idle[base] = [connection for connection in kept if connection.expires_s > now_s]
+        for base, idle in list(self._idle.items()):
+            found += [connection for connection in idle if connection.expires_s <= now_s]
+            self._idle[base] = [connection for connection in idle if connection.expires_s > now_s]
             if not self._idle[base]:
                 del self._idle[base]
         return found
