--- a/libs/pulleyhitch/src/pulleyhitch/__main__.py
+++ b/libs/pulleyhitch/src/pulleyhitch/__main__.py
@@ -1,4 +1,4 @@
-"""Run as `python -m pulleyhitch`."""
+"""Entry point of `python -m pulleyhitch`."""
 
 from pulleyhitch.cli import main
 
--- a/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/caller_connection.py
@@ -8,7 +8,10 @@
 
 @dataclass
 class CallerConnection:
-    """A connection, its request, and the callbacks of a request that waits."""
+    """A connection, its request, and the callbacks of a request that waits for its outcome.
+
+    `data` holds the bytes received so far.  `request_class` is empty until they are a complete
+    request.  `since_s` is when the connection was accepted, or when its request was complete."""
 
     sock: socket.socket
     address: tuple
--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -1,8 +1,8 @@
 """Forwarding of commands to the lease holder of a shard.
 
 A command is resent, under the same id, until the holder answers or the deadline passes; then
-the client gets a failure that leaves the outcome open.  A node that is cut off from the
-majority fails fast, so that its operator tries another node.
+the client gets a failure, and the command may or may not have taken effect.  A node that is cut
+off from the majority fails fast, so that the operator can try another node.
 """
 
 import json
@@ -31,9 +31,9 @@
 # Pseudo shard whose holder is the leader of the log.
 LOG_SHARD = -1
 _CHANGE_VERBS = ("layout", "zone", "engines", "written")
-# Failures of a holder that has not decided the command yet: it is resent.
+# Failures that a holder returns before it has decided a command; the command is resent.
 _RETRIED_FAILURES = ("no-holder", "edition-ahead")
-# Part of `serviceBackMs` that a command may wait for a holder.
+# Part of `serviceBackMs` during which a command may wait for an answer of the holder.
 _SERVICE_BACK_SHARE = 0.75
 # Part of the deadline during which a change may wait for the edition that it builds on.
 _EDITION_WAIT_SHARE = 0.5
@@ -51,7 +51,7 @@
 
 @dataclass
 class PendingCommand:
-    """A command without an answer so far; `token` is empty if no operator waits for it."""
+    """A command without an answer so far; `token` is empty for a router's Hold."""
 
     token: str
     shard: int
@@ -64,7 +64,7 @@
 
 def is_isolated(node, now_ms):
     """Whether no majority has confirmed this node's state for longer than an election takes.
-    False for a node that has just started, which can't tell yet."""
+    False on a node that has just started and has had no confirmation yet."""
     longest_ms = 2 * (node.times.election_ms + node.times.ping_ms)
     return (
         node.follower.current_ms > _NO_CONTACT_MS
@@ -73,7 +73,7 @@
 
 
 def answer_deadline(node, now_ms):
-    """When an operator's request that arrives now must be answered, decided or not."""
+    """Time by which an operator's request that arrives now must be answered, decided or not."""
     bounds = node.config.bounds
     wait_ms = min(_SERVICE_BACK_SHARE * bounds.serviceBackMs, bounds.acknowledgeMs)
     if bounds.answerMs:
@@ -104,8 +104,8 @@
 
 def _with_change_id(node, verb, body, id_):
     """Add a change id to a change without one.  A change of a zone also gets the zone's stamp
-    as known here, unless the operator gave one to expect, so that a delayed duplicate, after
-    later changes, has no effect."""
+    as known here, in `since`, unless the operator gave one in `expect`, so that a duplicate that
+    arrives after later changes has no effect."""
     if verb not in _CHANGE_VERBS or body.get("change"):
         return body
     body = {**body, "change": id_}
@@ -165,7 +165,7 @@
 
 
 def on_answer(node, now_ms, message):
-    """Apply a holder's answer; an undecided command stays pending and is resent."""
+    """Handle a holder's answer; a command that it has not decided stays pending and is resent."""
     pending = node.operator.pending.get(message.id)
     if pending is None:
         return []
@@ -186,7 +186,7 @@
 
 
 def _retry_on_current(node, now_ms, pending, since):
-    """Repeat a change, under a new id, on top of the zone's current stamp."""
+    """Repeat a change of a zone, under a new id, with the zone's current stamp as `since`."""
     id_ = _next_id(node)
     pending.body = {**pending.body, "change": id_, "since": since}
     return _add_pending(node, now_ms, id_, pending)
@@ -207,8 +207,8 @@
 
 
 def translate(node, now_ms, effects):
-    """Replace the effects that cross nodes: a router's Hold becomes a command to a placer, a
-    Reply to another node's command becomes a message."""
+    """Replace the effects that concern other nodes: a router's Hold becomes a command to a
+    placer, a Reply to another node's command becomes a message."""
     translated, remaining = [], list(effects)
     while remaining:
         effect = remaining.pop(0)
@@ -222,7 +222,7 @@
 
 
 def _hold(node, now_ms, effect):
-    """Send a router's request to the placer of the service's shard."""
+    """Send a router's Hold as a command to the placer of the service's shard."""
     shard = effect.shard
     if shard < 0:
         shard = registry_view.shard_of(effect.body["service"], node.config.shards)
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -1,7 +1,7 @@
-"""Configuration of a process, read from a TOML file, from flags, or both (flags win).
+"""Configuration of a process, read from a TOML file, from flags, or both (flags take precedence).
 
 The bounds are service levels that users rely on.  Every timeout in the system is a ratio of one
-of them, so that a deployment is made slower or faster in one place.
+of them, so that changing the bounds is enough to make a deployment slower or faster.
 """
 
 import tomllib
@@ -27,14 +27,14 @@
 
 _ADDRESS = validate.Regexp(
     r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$|^\[[0-9a-fA-F:]+\]:\d{1,5}$",
-    error="not an IP number and port, like 10.0.0.5:7400",
+    error="not an IP address and port, like 10.0.0.5:7400",
 )
 _MIN_THREADS, _MAX_THREADS, _THREADS_PER_CORE = 48, 192, 180
-# How long a stopping depot may wait to be replaced in the membership: part of `graceMs`, or a
-# fixed time without one.
+# How long a stopping depot may wait to be replaced in the membership: a part of `graceMs`, or a
+# fixed time if that is 0.
 _LEAVE_RATIO, _DEFAULT_LEAVE_MS = 0.6, 1000.0
-# Parts of `serviceBackMs`: how long a depot grants tokens after the last confirmation by a
-# majority, and after which time without a response it counts as silent.
+# Parts of `serviceBackMs`: how long after the last confirmation by a majority a depot grants
+# tokens, and how long a depot may leave a request unanswered before it counts as silent.
 _TRUST_RATIO, _SILENT_RATIO = 2 / 3, 0.008
 _NAME = validate.Regexp(r"^[a-z0-9][a-z0-9._-]{0,62}$", error="not a valid name")
 
@@ -163,7 +163,7 @@
 
 def _first_error(messages, path=""):
     if isinstance(messages, dict):
-        key, inner = sorted(messages.items(), key=lambda kv: str(kv[0]))[0]
+        key, inner = sorted(messages.items(), key=lambda item: str(item[0]))[0]
         return _first_error(inner, f"{path}.{key}" if path else str(key))
     return path, str(messages[0] if isinstance(messages, list) else messages)
 
@@ -194,7 +194,8 @@
 
 
 def read(path, flags):
-    """Config from a file (None for none), overridden by the flags that are set."""
+    """Config from a TOML file (no file if `path` is None), overridden by the flags that are set;
+    ConfigWrong if it is unreadable or invalid."""
     raw = {}
     if path:
         try:
--- a/libs/pulleyhitch/src/pulleyhitch/introspection.py
+++ b/libs/pulleyhitch/src/pulleyhitch/introspection.py
@@ -14,7 +14,8 @@
 
 
 def read(node, now_ms, body):
-    """Result of a confirmed read; `what` in the body names the part, `name` filters it."""
+    """Result of a confirmed read: `what` in the body selects a part of the state, `name` filters
+    it by partner, engine, service or wish."""
     part, name = body.get("what", "layout"), body.get("name", "")
     registry = node.cluster.registry
     head = {"stamp": registry.stamp, "place": node.follower.position}
@@ -22,9 +23,12 @@
         return {
             **head,
             "partners": {
-                p: {"stamp": registry.stamps.get(p, 0), "section": _without_keys(s)}
-                for p, s in sorted(registry.sections.items())
-                if name in ("", p)
+                partner: {
+                    "stamp": registry.stamps.get(partner, 0),
+                    "section": _without_keys(section),
+                }
+                for partner, section in sorted(registry.sections.items())
+                if name in ("", partner)
             },
         }
     if part == "zones":
@@ -48,7 +52,7 @@
 
 
 def _without_keys(section):
-    """The section, with the tenants' API keys replaced by fingerprints."""
+    """A section of the layout, with its tenants' API keys replaced by fingerprints."""
     if "tenants" not in section:
         return section
     shown = {
@@ -115,13 +119,13 @@
         },
         "holds": {
             str(s): {
-                "epoch": k.epoch,
-                "ready": k.held.ready,
-                "lost": k.held.lost,
-                "next": k.held.next,
-                "durable": k.held.durable,
+                "epoch": owner.epoch,
+                "ready": owner.held.ready,
+                "lost": owner.held.lost,
+                "next": owner.held.next,
+                "durable": owner.held.durable,
             }
-            for s, k in sorted(node.ownership.owners.items())
+            for s, owner in sorted(node.ownership.owners.items())
         },
         "engines": {e["name"]: e["items"] for e in _engines(node, "")},
         "router": {
@@ -140,7 +144,8 @@
 
 
 def fleet(node, now_ms):
-    """All nodes that follow the feed, as the log's leader sees them."""
+    """The members of the log, the lease holders and all nodes that follow the feed, as known to
+    this node, the log's leader."""
     depot = node.depot
     return {
         "term": depot.group.term,
--- a/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_commands.py
@@ -19,10 +19,10 @@
 __all__ = ["COMMANDS"]
 
 _NODE = option("node", None, "HTTP address of any node", flag=False, default="127.0.0.1:7500")
-_PARTNER = option("partner", "p", "The partner whose operator you are", flag=False, default="")
+_PARTNER = option("partner", "p", "The partner on whose behalf you act", flag=False, default="")
 _TOKEN = option("token-file", None, "File with the partner's token", flag=False)
 _EXPECT = option("expect", None, "Refuse unless this is the current stamp", flag=False)
-_CHANGE = option("change", None, "Id of this change, for sending it again", flag=False)
+_CHANGE = option("change", None, "Id of this change; reuse it to send the change again", flag=False)
 _WAIT = option("wait", "w", "Wait until every node has applied the change", flag=True)
 
 
@@ -74,23 +74,23 @@
         return _print(code, result)
 
     def _wait_all(self, stamp):
-        """Poll all nodes that the given node knows until each has reached the stamp."""
+        """Poll the nodes of the fleet until each has reached the stamp, for up to 30 s."""
         node, end_s = self.option("node"), time.monotonic() + 30
         waiting, followed = None, []
         while time.monotonic() < end_s and (waiting is None or waiting):
             if waiting is None:
                 code, fleet = _request(node, "GET", "/operator/fleet")
                 waiting = sorted(fleet.get("nodes", {})) if code == 200 else None
-                http = {}
+                http_addresses = {}
                 if code == 200:
-                    _, states = _request(node, "GET", "/operator/believes")
-                    http = {**states.get("https", {}), states.get("node"): node}
+                    _, state = _request(node, "GET", "/operator/believes")
+                    http_addresses = {**state.get("https", {}), state.get("node"): node}
                 continue
             name = waiting.pop(0)
-            _, states = _request(http.get(name, node), "GET", "/operator/believes")
+            _, state = _request(http_addresses.get(name, node), "GET", "/operator/believes")
             (
                 followed
-                if states.get("stamp", 0) >= stamp and states.get("node") == name
+                if state.get("stamp", 0) >= stamp and state.get("node") == name
                 else waiting
             ).append(name)
         return {"by": sorted(followed), "notYet": sorted(waiting or [])}
@@ -162,8 +162,8 @@
             return self._usage_error("template", "not readable")
         parameters = {}
         for pair in self.option("set"):
-            name, mark, value = pair.partition("=")
-            if not mark or not name.isidentifier():
+            name, separator, value = pair.partition("=")
+            if not separator or not name.isidentifier():
                 return self._usage_error("set", f"not NAME=VALUE: {pair}")
             try:
                 parameters[name] = json.loads(value)
@@ -223,7 +223,7 @@
 
 class Zones(_OperatorCommand):
     name = "zones"
-    description = "Print the zones, and which are evacuated."
+    description = "Print the zones, and which of them are evacuated."
     options = [_NODE]
 
     def handle(self):
@@ -251,7 +251,7 @@
 
 class Fleet(_OperatorCommand):
     name = "fleet"
-    description = "Print every node, as the leading log node sees it."
+    description = "Print every node, as the log's leader sees it."
     options = [_NODE]
 
     def handle(self):
--- a/libs/pulleyhitch/src/pulleyhitch/passages.py
+++ b/libs/pulleyhitch/src/pulleyhitch/passages.py
@@ -1,7 +1,7 @@
 """Passages: callers' requests through the gateway, routed by host and path and proxied unchanged.
 
-The platform's adapter extracts the facts of a request.  The layout determines its route, its
-service out of the route's split, how long it may be held, and how many attempts it may have.
+The platform's dialect reads the fields of a request.  The layout determines its route, its
+service out of the route's split, how long it may wait for an engine, and its number of attempts.
 """
 
 import json
@@ -18,9 +18,9 @@
 
 __all__ = ["begin", "ready", "report_demand"]
 
-# Parts of a prompt opening that make up a routing key.
+# Number of parts of a prompt's opening that are joined into the routing key.
 _OPENING_PARTS = 2
-# Rank of routes that set none.
+# Rank of a route that sets none.
 _DEFAULT_RANK = 5
 
 
@@ -36,7 +36,7 @@
 
 
 def begin(node, now_ms, token, facts, peers):
-    """Start a caller's request; its first outcome comes as a Reply, now or later."""
+    """Start a caller's request; its first outcome comes as a Reply effect, now or later."""
     if node.closing and not facts.get("accepted"):
         return [Reply(token, failures.Overloaded(200, "closing"))]
     if node.follower.current_ms <= -1e11 or not registries.services(node.cluster.registry):
@@ -71,7 +71,7 @@
 
 def _unless_stale(node, age_ms, failure):
     """`failure`, or Stale if this node's configuration may be out of date: a newer one may
-    have the route or the key that is unknown here."""
+    contain the route or the API key that is unknown here."""
     bound_ms = min(node.router.settings.staleMs, node.config.bounds.layoutMs)
     if age_ms > bound_ms:
         return failures.Stale(int(bound_ms), int(age_ms))
@@ -82,7 +82,7 @@
     stream = route["kind"] == "stream"
     rank = route.get("rank", _DEFAULT_RANK)
     repeatable = route["kind"] == "safe" or (stream and route.get("resumable", False))
-    holdMs = min(facts["deadlineMs"], route["holdMs"])
+    hold_ms = min(facts["deadlineMs"], route["holdMs"])
     return router.Task(
         token,
         f"{token}.{facts['id']}"[:80],
@@ -93,7 +93,7 @@
         "|".join(facts["opening"][:_OPENING_PARTS]),
         repeatable,
         stream,
-        now_ms + holdMs,
+        now_ms + hold_ms,
         rank=rank,
         aimMs=route["aimMs"],
         max_attempts=route.get("tries", 1),
@@ -107,7 +107,7 @@
 
 
 def report_demand(node, now_ms, holder_address):
-    """Report to the placers which items callers requested, and the outcomes of engines."""
+    """Report to the placers how often items were requested, and the outcomes of engines."""
     has_reports = node.router.demand_counts or node.router.unreported_failures
     if not has_reports or now_ms - node.operator.demand_reported_ms < 2 * node.times.ping_ms:
         return []
@@ -127,6 +127,6 @@
 
 
 def _for_shard(node, reports, service):
-    """The report for the shard of a service."""
+    """The report to the placer of a service's shard, created on first use."""
     shard = registry_view.shard_of(service, node.config.shards)
     return reports.setdefault(shard, {"items": {}, "outcomes": {}})
--- a/libs/pulleyhitch/src/pulleyhitch/request_framing.py
+++ b/libs/pulleyhitch/src/pulleyhitch/request_framing.py
@@ -1,7 +1,7 @@
-"""Framing of HTTP/1.1 requests: where a request ends in a byte stream (RFC 9112, 2 to 7).
+"""Framing of HTTP/1.1 requests: where a request ends in a byte stream (RFC 9112, sections 2 to 7).
 
-Strict, against request smuggling: a request with an ambiguous length, a malformed head, or a
-line that parsers read differently is refused and never forwarded.
+The parser is strict, to prevent request smuggling: a request with an ambiguous length, a
+malformed head, or a line that other parsers may read differently is refused and never forwarded.
 """
 
 import re
@@ -10,7 +10,7 @@
 __all__ = ["Complete", "Incomplete", "Malformed", "parse_request", "HEAD_LIMIT_BYTES"]
 
 HEAD_LIMIT_BYTES = 32 << 10
-# Longest size line of a chunk, with its extension.
+# Longest size line of a chunk, including chunk extensions.
 _SIZE_LINE_LIMIT_BYTES = 256
 _HEAD_END = b"\r\n\r\n"
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
@@ -67,12 +67,12 @@
 
 def _body_length(head):
     """Length of the body in bytes, None if it is chunked, or Malformed."""
-    found = {b"content-length": [], b"transfer-encoding": [], b"host": []}
+    values = {b"content-length": [], b"transfer-encoding": [], b"host": []}
     for name, value in _FRAMING_FIELD.findall(head):
-        found[name.lower()].append(value.strip(b" \t"))
-    lengths, codings = found[b"content-length"], found[b"transfer-encoding"]
-    if len(lengths) + len(codings) > 1 or len(found[b"host"]) > 1:
-        return Malformed(400, "a field that stands twice")
+        values[name.lower()].append(value.strip(b" \t"))
+    lengths, codings = values[b"content-length"], values[b"transfer-encoding"]
+    if len(lengths) + len(codings) > 1 or len(values[b"host"]) > 1:
+        return Malformed(400, "repeated header field")
     if codings:
         return None if codings[0].lower() == b"chunked" else Malformed(400, "transfer-encoding")
     if lengths and not _LENGTH.fullmatch(lengths[0]):
@@ -102,7 +102,7 @@
 
 
 def _no_size_line(data, at):
-    """Whether a missing size line is malformed or has only not arrived yet."""
+    """Malformed if there is no valid size line, Incomplete if one may still arrive."""
     rest = bytes(data[at : at + _SIZE_LINE_LIMIT_BYTES])
     if b"\n" in rest or len(rest) == _SIZE_LINE_LIMIT_BYTES:
         return Malformed(400, "chunk size")
--- a/libs/pulleyhitch/src/pulleyhitch/role_commands.py
+++ b/libs/pulleyhitch/src/pulleyhitch/role_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run a role: `pulleyhitch depot` keeps the log, `pulleyhitch counter` routes.
+"""Commands that run a role: `pulleyhitch depot` replicates the log, `pulleyhitch counter` routes.
 
 Exit codes: 0 orderly stop, 2 invalid config or flags, 3 the data folder or an address can't be
 used, 4 stopped by a failure.
@@ -35,13 +35,13 @@
         option(
             "seed",
             "s",
-            "Address of another process; repeat for three of them",
+            "Address of another process; repeat the option to give three",
             flag=False,
             multiple=True,
         ),
         option("zones", None, "All zones, separated by commas", flag=False),
         option("shards", None, "Number of shards", flag=False),
-        option("depots", None, "Number of depots that found the log", flag=False),
+        option("depots", None, "Number of depots that bootstrap the log", flag=False),
     ] + [option(key, None, f"This process's {key}", flag=False) for key in _TEXT_OPTIONS]
 
     def handle(self):
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -2,8 +2,8 @@
 others.
 
 A node learns from the feed that it holds a lease, recovers the shard's state in chunks, and
-serves the shard until the feed names another holder, or until the lease may have ended by its
-own clock.
+serves the shard until the feed names another holder, or until the lease may have expired by the
+node's own clock.
 """
 
 from dataclasses import dataclass, field
@@ -32,7 +32,7 @@
     "has_pending_answers",
 ]
 
-# Part of the time until leases are revoked after which the holder takes its lease as ended.
+# Part of the time until the leader revokes a lease; the holder treats it as expired after that.
 _LEASE_RATIO = 0.8
 
 
@@ -62,11 +62,11 @@
 
 
 def lease_end(follower, times):
-    """When this node must take its leases as ended, on its own clock."""
+    """Time on this node's clock from which it must treat its leases as expired."""
     return follower.direct_ms + _LEASE_RATIO * times.revoke_ms
 
 
-def _apply_grants(ownership, card, log_state):
+def _apply_assignments(ownership, card, log_state):
     effects = []
     for shard, assignment in log_state.shards.items():
         is_ours = assignment.holder == card.name and assignment.incarnation == card.incarnation
@@ -97,7 +97,7 @@
 
 def tick(ownership, now_ms, card, follower, cluster, times, settings, leader, report_lost):
     """Follow changes of leases, recover new shards, and run the placers and checkpoints."""
-    effects = _apply_grants(ownership, card, follower.state)
+    effects = _apply_assignments(ownership, card, follower.state)
     end_ms = lease_end(follower, times)
     for owner in ownership.owners.values():
         held = owner.held
@@ -157,7 +157,7 @@
 
 
 def on_durable(ownership, now_ms, message, follower, cluster, times, settings):
-    """Records of our shards are committed: run what waited for them."""
+    """Records of held shards are durable: run the continuations that waited for them."""
     effects = []
     for position in message.positions:
         owner = ownership.owners.get(position.shard)
@@ -179,7 +179,7 @@
 
 
 def on_refused(ownership, message):
-    """The leader refused records of a shard."""
+    """Handle the leader's refusal of records of a shard."""
     owner = ownership.owners.get(message.shard)
     if owner is not None:
         shard_log.on_refused(owner.held, message)
@@ -222,7 +222,7 @@
 
 
 def command(ownership, now_ms, token, shard, verb, body, follower, cluster, times, settings):
-    """Handle a command for a shard; NoHolder if this node doesn't hold it, or not yet."""
+    """Handle a command for a shard; NoHolder unless this node holds it and has recovered it."""
     owner = ownership.owners.get(shard)
     if (
         owner is None
@@ -247,8 +247,8 @@
 
 
 def _report_defect(token, verb, error):
-    """Report an exception raised by a command.  Nothing has changed.  The node goes on:
-    stopping would only hand the same command to the next holder, and crash that one too."""
+    """Report an exception raised by a command, which has changed nothing.  The node keeps
+    running: if it stopped, the command would be resent to the next holder and crash it too."""
     failure = failures.CoreBroke(verb, repr(error))
     return [
         Reply(token, failure),
@@ -258,8 +258,8 @@
 
 
 def release_all(ownership, card, leader, successors):
-    """Release all leases in an orderly stop, naming successors.  Nothing is sent for these
-    shards from then on; the next holder waits until calls in flight have ended."""
+    """Release all leases in an orderly stop, naming successors.  This node sends nothing for
+    these shards from then on; the next holder waits until calls in flight have ended."""
     effects = []
     for shard, owner in sorted(ownership.owners.items()):
         owner.held.released = True
@@ -270,7 +270,7 @@
 
 
 def has_pending_answers(ownership):
-    """Whether a response waits for a change of the configuration to become durable."""
+    """Whether a response is pending until a change of the configuration is durable."""
     return any(
         owner.held.waiting
         for owner in ownership.owners.values()
