--- a/libs/pulleyhitch/src/pulleyhitch/admission.py
+++ b/libs/pulleyhitch/src/pulleyhitch/admission.py
@@ -1,8 +1,8 @@
 """Admission of requests by the HTTP listener.
 
-Decides from a request's raw bytes whether it is complete, which class it has, and which
-thread shares that class may use; sends the short responses that need no thread.  The classes
-are `operator`, `lookup` and the ranks of tasks, `rank0` (highest) to `rank2`.
+Determines from a request's raw bytes whether it is complete, which class it has, and which
+thread shares that class may use; sends the short failure responses that need no thread.  The
+classes are `operator`, `lookup` and the ranks of tasks, `rank0` (highest) to `rank2`.
 """
 
 import json
@@ -50,7 +50,7 @@
 }
 # Order in which queued requests get threads; lower values first.
 PRIORITIES = {"operator": 0, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 3}
-# Retry-After of a response that refuses a request because no thread is free.
+# Retry-After, in seconds, of a response that refuses a request because no thread is free.
 RETRY_AFTER_S = {"operator": 1, "lookup": 1, "rank0": 1, "rank1": 2, "rank2": 5}
 _CLASS = re.compile(rb'"class"\s*:\s*"([a-z]{1,16})"')
 _ROUTE = re.compile(rb"^POST /v1/route/([^ /?]{1,80})")
@@ -127,8 +127,8 @@
 
 
 def close_connection(sock):
-    """Close a connection so that the response arrives even if input was left unread: unread
-    input would make the kernel reset the connection."""
+    """Close a connection after reading and dropping pending input: the kernel would reset the
+    connection on unread input, and the peer could lose the response."""
     try:
         sock.setblocking(False)
         sock.shutdown(socket.SHUT_WR)
@@ -141,13 +141,13 @@
 
 
 def peek(sock):
-    """b"" if the peer has closed the connection; otherwise None, or the next byte, which
-    stays unread.  Polls first: with a timeout set on the socket, recv would block despite
-    MSG_DONTWAIT if there were nothing to read."""
-    ready = select.poll()
-    ready.register(sock, select.POLLIN)
+    """b"" if the peer has closed the connection, None if there is nothing to read; otherwise
+    the next byte, which stays unread.  Polls first: with a timeout set on the socket, recv
+    would block despite MSG_DONTWAIT if there were nothing to read."""
+    poller = select.poll()
+    poller.register(sock, select.POLLIN)
     try:
-        return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) if ready.poll(0) else None
+        return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) if poller.poll(0) else None
     except BlockingIOError:
         return None
     except OSError:
--- a/libs/pulleyhitch/src/pulleyhitch/gateway.py
+++ b/libs/pulleyhitch/src/pulleyhitch/gateway.py
@@ -2,7 +2,7 @@
 
 `Gateway` proxies callers' requests to engines; `OperatorGateway` serves operators' requests.
 Both use the same listener as the product's own interface (`server`), which runs beside them.
-`StatusEndpoint` is the readiness probe.
+`StatusEndpoint` serves the readiness probe.
 """
 
 import secrets
@@ -67,13 +67,13 @@
         self._listener.stop()
 
     def empty(self):
-        """Whether the gateway has stopped and no request is pending."""
+        """Whether the gateway has stopped accepting and no request is pending."""
         return self._listener.empty()
 
     def _begin(self, caller):
-        """Start a request: answer it, or return the callbacks with which it waits.  A request
-        whose caller has disconnected is dropped: after a pause of this process many callers
-        have already retried under another id."""
+        """Start a request: respond to it, or return its future and callbacks if it has to wait.
+        A request whose caller has disconnected is dropped: after a pause of this process many
+        callers have already retried under another id."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed or closed_by_peer(caller.sock):
             return None
@@ -132,8 +132,9 @@
         self._listener.run()
 
     def _begin(self, caller):
-        """Start a request: answer it, or return the callbacks with which it waits.  A request
-        whose operator has disconnected is dropped: it may have gone to another node since."""
+        """Start a request: respond to it, or return its future and callbacks if it has to wait.
+        A request whose operator has disconnected is dropped: the operator may have sent it to
+        another node by now."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed:
             return None
@@ -171,8 +172,8 @@
 
 
 class StatusEndpoint:
-    """Readiness probe: 200 while the node takes requests; `run` serves until the process
-    stops."""
+    """Readiness probe: 200 while the node is ready for requests, 503 otherwise; `run` serves
+    until the process stops."""
 
     def __init__(self, process):
         self._process = process
--- a/libs/pulleyhitch/src/pulleyhitch/http_handler.py
+++ b/libs/pulleyhitch/src/pulleyhitch/http_handler.py
@@ -1,6 +1,6 @@
 """Runs WSGI applications, through werkzeug, on requests that the listener has already read.
 
-Small writes are buffered until werkzeug flushes, so that one event of a stream leaves in one
+Small writes are buffered until werkzeug flushes, so that one event of a stream is sent in one
 packet.
 """
 
@@ -11,8 +11,8 @@
 
 __all__ = ["RequestHandler", "ServerContext", "REPEATED_FIELDS"]
 
-# WSGI environment key: lower-case names of the header fields that occur more than once.  WSGI
-# joins their values by commas, so that they look like one field.
+# WSGI environment key of the lower-case names of the header fields that occur more than once.
+# WSGI joins their values with commas, so that they look like one field.
 REPEATED_FIELDS = "pulleyhitch.repeated-fields"
 
 _LAST_CHUNK = b"0\r\n\r\n"
@@ -42,7 +42,7 @@
 class RequestHandler(WSGIRequestHandler):
     """Handles a request that the listener has read; `run_wsgi` sends the response.
 
-    `parsed` tells whether the head was understood; `wsgi_environ` is the WSGI environment, and
+    `parsed` is whether the request head is valid; `wsgi_environ` is the WSGI environment, and
     `target` the request target exactly as sent."""
 
     protocol_version = "HTTP/1.1"
@@ -60,7 +60,7 @@
             self.wsgi_environ = self._environ(self.request.request.body)
 
     def _environ(self, body):
-        """The WSGI environment; the body is already decoded from chunks."""
+        """The WSGI environment; the listener has already decoded a chunked body."""
         environ = super().make_environ()
         environ.pop("HTTP_TRANSFER_ENCODING", None)
         environ.pop("wsgi.input_terminated", None)
@@ -79,7 +79,7 @@
         return self.wsgi_environ
 
     def log(self, type, message, *args):
-        """No access log: the log ring records the events that matter."""
+        """Write no access log; the log ring records the events of the node."""
 
 
 class ServerContext:
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -21,7 +21,8 @@
 
 __all__ = ["run", "report_failure"]
 
-# Parts of the grace period: until then new connections are accepted, and requests answered.
+# Parts of the grace period, from its start: until then new connections are accepted, and until
+# then the process waits for the responses to accepted requests.
 _ACCEPT_SHARE = 0.3
 _DRAIN_SHARE = 0.85
 
@@ -32,7 +33,7 @@
 
 
 def _make_servers(process):
-    """(name, server) of the product's own interface and of those in the config's `doors`."""
+    """(name, server) of the product's own interface and of those set in the config's `doors`."""
     servers = [("http", Server(process))]
     for name, server_class in (
         ("callers", Gateway),
@@ -46,8 +47,8 @@
 
 def run(config, dialect=None, changed_seeds=None):
     """Run a node until SIGINT, SIGTERM or a failure, then exit the process.  Returns an exit
-    code only if it can't start.  `changed_seeds()` is polled for new seed addresses; it
-    returns None if they are unchanged.  SIGHUP polls at once, SIGUSR1 dumps the log ring."""
+    code only if it can't start.  `changed_seeds()` is polled for seed addresses; it returns
+    None if they are unchanged.  SIGHUP polls at once, SIGUSR1 dumps the log ring."""
     try:
         process = Process(config, dialect)
     except CannotStart as error:
@@ -86,7 +87,7 @@
 
 def _freeze_garbage_collector():
     """Exempt the objects made so far, which live as long as the process, from garbage
-    collection, and enable it for new ones."""
+    collection, and enable collection of new ones."""
     gc.freeze()
     gc.enable()
 
--- a/libs/pulleyhitch/src/pulleyhitch/listener.py
+++ b/libs/pulleyhitch/src/pulleyhitch/listener.py
@@ -1,10 +1,10 @@
-"""HTTP listener: accepts connections and gives threads to complete requests only.
+"""HTTP listener: accepts connections, and assigns threads to complete requests only.
 
 One event loop watches every open connection.  A complete request gets a thread from the
-share of its class, or from a lower share that has free threads.  If none becomes free soon it
-is refused, so that a flood of one class never starves a higher one.  A request that has to
-wait (for its model, say) releases its thread; its connection stays with the event loop until
-the result is known or the caller disconnects.  Open connections, buffered bytes and the time
+share of its class, or from a lower share that has free threads.  If none becomes free soon, the
+request is refused, so that a flood of one class never starves a higher one.  A request that has to
+wait (for its model, for example) releases its thread; the event loop watches its connection until
+the outcome is known or the caller disconnects.  Open connections, buffered bytes and the time
 in which a request must arrive are all bounded.
 """
 
@@ -75,7 +75,7 @@
         self._run_on_loop(lambda: None)
 
     def run(self):
-        """Run the event loop until `stop` was called and nothing is pending."""
+        """Run the event loop until `stop` has been called and no request is pending."""
         while not (self._stopping and self.empty()):
             if self._stopping and self._accepting:
                 self._stop_accepting()
@@ -190,14 +190,14 @@
         self._close(caller)
 
     def _on_disconnect(self, caller):
-        """Report the disconnect, at most once, and only while the request still waits."""
+        """Call `on_disconnect` of a request, at most once, and only while it still waits."""
         with self._lock:
             on_disconnect, caller.on_disconnect = caller.on_disconnect, None
         if on_disconnect is not None:
             on_disconnect()
 
     def _admit(self, caller):
-        """Give a complete request a thread, or queue it for one."""
+        """Start a complete request on a thread, or queue it until one is free."""
         self._unregister(caller)
         caller.request_class, caller.since_s = self._classify(caller.data), time.monotonic()
         if not self._start(caller):
@@ -214,9 +214,9 @@
         with self._lock:
             share = next(
                 (
-                    p
-                    for p in admission.USABLE_SHARES[caller.request_class]
-                    if self._free_threads[p] > 0
+                    name
+                    for name in admission.USABLE_SHARES[caller.request_class]
+                    if self._free_threads[name] > 0
                 ),
                 None,
             )
@@ -279,6 +279,6 @@
         ]:
             if caller.data:
                 admission.send_malformed(
-                    caller.sock, request_framing.Malformed(408, "not whole in time")
+                    caller.sock, request_framing.Malformed(408, "not complete in time")
                 )
             self._close(caller)
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -1,6 +1,6 @@
 """A node's core: a state machine that takes events and returns effects.
 
-It joins the libraries.  There are two roles: a counter routes requests and, as long as it holds
+It combines the libraries.  There are two roles: a counter routes requests and, as long as it holds
 leases of shards, places models; a depot keeps a replica of the log.  Both follow the feed (the
 stream of committed log records), exchange heartbeats with peers and serve operators.  The same
 `handle` runs in real processes and in the simulator.
@@ -26,7 +26,7 @@
 _PEER_LOST_RATIO = 0.25
 # How long a stopping node waits for pending responses.
 _PENDING_ANSWERS_MS = 1000.0
-# Messages that the log replica handles; all others go to the node itself.
+# Messages that a depot passes to its log replica, besides FeedRequest.
 _DEPOT_MESSAGES = (
     messages.AppendEntries,
     messages.AppendReply,
@@ -53,9 +53,10 @@
 
     `card` is its identity as sent to peers, `peers` its view of the membership, `follower` its
     position in the feed, `cluster` the registry and ledgers built from the feed, `ownership`
-    the shards it holds, `router` and `quotas` the state of requests, and `operator` that of
-    operators' requests.  `depot` is the log replica, None on a counter.  `leaving` means that
-    it is draining and reports itself not ready, `closing` that it takes no new work."""
+    the shards it holds, `router` and `quotas` the state of callers' requests, and
+    `operator` that of operators' requests.  `depot` is the log replica, None on a counter.
+    `leaving` means that the node is draining and its readiness probe fails, `closing` that it
+    accepts no new work."""
 
     card: messages.NodeInfo
     config: configs.Config
@@ -77,8 +78,8 @@
 
 
 def make(config, incarnation, seed, group=None, dialect=None):
-    """A new node.  `group` is a depot's opened replication group; `dialect` adapts the formats
-    of a platform, None for the product's own."""
+    """A new node.  `group` is a depot's opened log replica, None on a counter; `dialect`
+    translates the formats of a platform, None for the product's own."""
     reader = dialect.reader if dialect else None
     identity = group.identity if group else ""
     card = messages.NodeInfo(
@@ -188,8 +189,8 @@
 
 
 def _query_feed(node, now_ms):
-    """Request feed records from the leader.  If it is silent or unknown, look for it by
-    greeting the depots in turn, and request records from other counters too."""
+    """Request feed records from the leader.  If it is silent or unknown, look for it by sending
+    Gossip to the depots in turn, and request records from watched counters too."""
     if now_ms - node.follower.requested_ms < node.times.ping_ms:
         return []
     query_address = leader_address(node)
@@ -226,7 +227,7 @@
 
 
 def _retry_waiting(node, now_ms):
-    """Let waiting requests try again for a place on an engine."""
+    """Retry the requests that wait for a place on an engine."""
     engine_tracking.update(node.router, now_ms, node.cluster)
     if not any(task.waiting for task in node.router.tasks.values()):
         return []
@@ -303,7 +304,7 @@
 
 
 def _delay_finished(node, now_ms, effects):
-    """Hold `Finished` back while responses are pending, for a bounded time."""
+    """Drop `Finished` while responses are pending, for a bounded time; a later event repeats it."""
     timed_out = now_ms - node.closing_ms > _PENDING_ANSWERS_MS
     if timed_out or not (
         node.operator.pending or shard_ownership.has_pending_answers(node.ownership)
@@ -313,7 +314,7 @@
 
 
 def _begin_shutdown(node, now_ms):
-    """Begin an orderly stop: take no new work, and release leases, naming successors."""
+    """Begin an orderly stop: accept no new work, and release leases, naming successors."""
     node.closing, node.closing_ms = True, now_ms
     names = [
         n
--- a/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/operator_requests.py
@@ -1,8 +1,8 @@
 """Requests of callers and operators to this node, dispatched by verb.
 
 An operator's change is forwarded to the lease holder of its shard (`command_forwarding`).  A
-read is linearizable: it waits until the feed confirms a position that was requested after the
-read came in, and fails if that does not happen in time.
+read is linearizable: it waits until the feed confirms a state that was current after the read
+arrived, and fails if that does not happen in time.
 """
 
 import dataclasses
@@ -46,7 +46,10 @@
 
 @dataclass
 class OperatorRequests:
-    """Operators' pending commands (by id) and reads; `count` numbers the commands."""
+    """Pending commands by id (also those of the router) and pending reads.
+
+    `count` numbers operators' commands; `demand_reported_ms` is the time of the last report of
+    demand to the placers."""
 
     pending: dict = field(default_factory=dict)
     reads: list = field(default_factory=list)
@@ -55,7 +58,8 @@
 
 
 def handle_request(node, now_ms, event):
-    """Handle a request by its verb; its outcome comes as a Reply, now or later."""
+    """Handle a request by its verb; its outcome comes as a Reply effect, now or later.  Verbs
+    without a handler here are forwarded as commands to the holder of their shard."""
     handler = _VERBS.get(event.verb)
     if handler is not None:
         return handler(node, now_ms, event.token, event.body)
@@ -88,7 +92,7 @@
 
 
 def _read(node, now_ms, token, body):
-    """Queue a read, and request the feed position that will confirm it."""
+    """Queue a read, and request from the leader the feed update that confirms it."""
     deadline_ms = command_forwarding.answer_deadline(node, now_ms)
     node.operator.reads.append(PendingRead(token, body, now_ms, deadline_ms))
     leader = node.peers.group.leader
@@ -139,7 +143,7 @@
 
 
 def routing_peers(node, now_ms):
-    """The live counters, which share the engines with this one."""
+    """The live counters, among which the places of engines are divided, as this node knows them."""
     return choice.RoutingNodes(
         node.card.name, peer_table.counters(node.peers, now_ms), node.card.zone
     )
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -1,4 +1,4 @@
-"""The process around a node's core: threads, timers, sockets and the disk.
+"""Runs a node's core in a process, with its threads, timers, sockets and disk.
 
 One thread, the owner, passes events to the core (`node.handle`) and applies the effects that
 it returns.  All events reach it through one queue.  Connections to peers, HTTP requests,
@@ -40,9 +40,10 @@
 __all__ = ["Process", "CannotStart"]
 
 _TICKS_PER_PING = 6
-# Part of the election timeout, before jitter, after which a started depot may campaign.
+# Part of the election timeout, before jitter, after which a depot that has just started may
+# start an election.
 _FIRST_ELECTION_RATIO = 0.3
-# Time in an orderly stop for the last messages and responses.
+# How long an orderly stop waits for the last messages and responses to be sent.
 _FINAL_MESSAGES_S = 0.15
 _COUNTER_STOP_S = 1.0
 # Interval between sweeps of idle connections to engines.
@@ -122,9 +123,9 @@
         return self
 
     def close(self):
-        """Stop in order: release leases, leadership and membership, then end the owner.
+        """Stop in order: release leases, leadership and membership, then stop the owner thread.
 
-        Requests whose response is ready by then still get it.
+        Responses that are ready by then are still sent.
         """
         self._queue.put(events.Shutdown())
         if self._node.depot is not None:
@@ -149,8 +150,8 @@
         return future
 
     def notify(self, token, verb, body):
-        """Pass a request on without a future of its own.  A reply to it goes to the future
-        that is registered under the token, if any."""
+        """Pass a request to the core without registering a future.  Its reply goes to the future
+        that is already registered under the token, if any."""
         self._queue.put(events.LocalRequest(token, verb, body))
 
     def request(self, token, verb, body, wait_s=600.0):
@@ -172,8 +173,8 @@
 
     def _run_owner(self):
         """Handle events as they arrive, and a tick whenever one is due, however long the queue
-        is.  After a pause of the process, the events queued meanwhile go before the tick, so
-        that timeouts don't fire although the messages are there."""
+        is.  After a pause of the process, the events queued meanwhile are handled before the
+        tick, so that no timeout fires although the message it waits for has arrived."""
         tick_ms = configs.times(self.config).ping_ms / _TICKS_PER_PING
         next_ms = _now()
         while not self._stopped.is_set():
@@ -195,7 +196,7 @@
             self._handle_event(events.Tick())
 
     def _sweep(self, now_ms):
-        """Close idle connections to engines, also when no requests come in."""
+        """Close idle connections to engines at intervals, even if there are no requests."""
         if now_ms >= self._sweep_ms:
             self._sweep_ms = now_ms + _SWEEP_INTERVAL_MS
             self._calls.submit(self.pool.close_expired)
--- a/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
+++ b/libs/pulleyhitch/src/pulleyhitch/quota_requests.py
@@ -22,16 +22,17 @@
 
 _UNANSWERED_RETRY_MS = 1000
 _LINE_FULL_RETRY_MS = 3000
-# Interval between notes of refusals in the log ring.
+# Interval between log lines about refusals.
 _REPORT_INTERVAL_MS = 5000.0
-# Range of the random number with which the token requests of a node start.
+# Range of the random start of the numbers of a node's token requests.  The start is random so
+# that replies to requests from before a restart don't match.
 _FIRST_NUMBER_RANGE = 1 << 48
 
 
 @dataclass
 class Quotas:
-    """State of rate limits.  `standing` is None except on a depot; `unreported_refusals`
-    counts refusals by tenant since the last note."""
+    """State of rate limits.  `standing` tracks whether this depot may grant tokens, and is None on
+    a counter; `unreported_refusals` counts refusals by tenant since the last log line."""
 
     spending: spending.SpendingState
     granting: granting.GrantingState
@@ -55,7 +56,7 @@
 
 
 def begin(node, now_ms, age_ms, peers, task):
-    """Start a caller's request: it is routed, waits for a token, or is refused."""
+    """Start a caller's request: route it, queue it for a token, or refuse it."""
     limit = _limit(node, task.tenant)
     task.awaiting_quota = limit is not None
     effects = router.begin(node.router, now_ms, node.cluster, age_ms, peers, task)
@@ -75,7 +76,7 @@
 
 
 def _limit(node, name):
-    """The limit of a tenant that has one, or None."""
+    """The limit of the tenant of this name, None if it has no limit."""
     facts = registries.tenants(node.cluster.registry).get(name)
     if facts is None or not facts["ratePerS"] > 0:
         return None
@@ -134,20 +135,20 @@
 
 
 def _observe_membership(node, now_ms):
-    """Observe the committed membership, as this node's feed has it."""
+    """Update `standing` from the committed membership, as known from this node's feed."""
     founders = {member.identity for member in node.depot.group.founders}
     grant_shares.observe(node.quotas.standing, now_ms, node.follower.state.members, founders)
 
 
 def on_grant(node, now_ms, sender, message, peers_of):
-    """Handle a depot's grant: the requests that waited for it proceed."""
+    """Handle a depot's reply: requests that waited for it are admitted or refused."""
     spending.on_grant(node.quotas.spending, now_ms, sender, message)
     return _process_decisions(node, now_ms, peers_of)
 
 
 def tick(node, now_ms, peers_of):
-    """Skip silent depots, refuse requests whose tokens came from no depot in time, and note
-    refusals."""
+    """Refuse requests that got no token in time, request tokens again from other depots if one
+    is silent, and log refusals."""
     if node.depot is not None:
         _observe_membership(node, now_ms)
     _update_depots(node)
@@ -170,20 +171,20 @@
 
 
 def _report_refusals(node, now_ms):
-    """One note with the refusals of all tenants since the last one."""
+    """One log line with the refusals of all tenants since the last line."""
     quotas = node.quotas
     if not quotas.unreported_refusals or now_ms - quotas.reported_ms < _REPORT_INTERVAL_MS:
         return []
-    note = LogLine("quota-refusals", {"tenants": quotas.unreported_refusals})
+    log_line = LogLine("quota-refusals", {"tenants": quotas.unreported_refusals})
     quotas.unreported_refusals, quotas.reported_ms = {}, now_ms
-    return [note]
+    return [log_line]
 
 
 def describe(node):
-    """By tenant: its limit, this node's counts, and what it granted as a depot."""
-    found = {}
+    """By tenant: its limit, this node's counts of its tokens and, on a depot, what it granted."""
+    described = {}
     for name, facts in sorted(registries.tenants(node.cluster.registry).items()):
-        found[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
+        described[name] = {"ratePerS": facts["ratePerS"], "burst": facts["burst"]}
         spent_here = node.quotas.spending.tenants.get(name)
         if spent_here is not None:
             counts = {
@@ -191,13 +192,13 @@
                 "spent": spent_here.spent,
                 "refused": spent_here.refused,
             }
-            found[name] |= {**counts, "waiting": len(spent_here.queue)}
+            described[name] |= {**counts, "waiting": len(spent_here.queue)}
         granted_here = node.quotas.granting.tenants.get(name)
         if granted_here is not None:
             left = round(granted_here.bucket.tokens, 2)
-            found[name]["depot"] = {
+            described[name]["depot"] = {
                 "given": granted_here.given,
                 "short": granted_here.short,
                 "left": left,
             }
-    return found
+    return described
--- a/libs/pulleyhitch/src/pulleyhitch/server.py
+++ b/libs/pulleyhitch/src/pulleyhitch/server.py
@@ -1,4 +1,4 @@
-"""The product's own HTTP interface: callers (on counters) and operators (on every node).
+"""The product's own HTTP interface, for callers (on counters) and operators (on every node).
 
     GET  /operator/read/<what>?name=      layout, zones, engines, why, holds, tenants
     POST /operator/layout                 {"partner", "section", "partial"?, "expect"?, "change"?}
@@ -87,15 +87,15 @@
         return RANK.get(self._route_classes.get(route), 1)
 
     def _begin(self, caller):
-        """Start a request: answer it, or return the callbacks with which it waits."""
+        """Start a request: respond to it, or return its future and callbacks if it has to wait."""
         handler = RequestHandler(caller, caller.address, self._server_context)
         if not handler.parsed:
             return None
-        task = self._submit_task(handler)
-        if task is None:
+        submitted = self._submit_task(handler)
+        if submitted is None:
             handler.run_wsgi()
             return None
-        token, facts, future = task
+        token, facts, future = submitted
 
         def finish(outcome):
             handler.wsgi_environ["pulleyhitch.step"] = (token, facts, outcome)
@@ -110,7 +110,8 @@
         return future, finish, on_disconnect
 
     def _submit_task(self, handler):
-        """Submit a caller's task: (token, task, future); None for any other request."""
+        """Submit a caller's task: (token, facts, future).  None for an invalid task, whose failure
+        is put into the WSGI environment, and for any other request."""
         if self._config.role != "counter":
             return None
         request = Request(handler.wsgi_environ)
@@ -175,7 +176,7 @@
         return caller_api.json_response(outcome if not isinstance(outcome, Done) else {})
 
     def _task(self, request, **values):
-        """Respond to a task whose first outcome `_begin` has put into the environment."""
+        """Respond to a task; `_begin` has put its first outcome into the WSGI environment."""
         if "pulleyhitch.step" not in request.environ:
             return caller_api.failure_response(failures.NotFound("callers are served by counters"))
         token, facts, outcome = request.environ["pulleyhitch.step"]
@@ -210,7 +211,7 @@
             return caller_api.failure_response(failures.WrongPartner(actor, "(token)"))
         if _PLATFORM in self._config.tokens and (verb == "engines") != (actor == _PLATFORM):
             return caller_api.failure_response(failures.WrongPartner(actor, f"({verb})"))
-        # The node assigns the id of a command: two operators that chose the same one would
-        # get each other's answers.
+        # The node assigns the id of a command: two operators that chose the same id
+        # would get each other's answers.
         body.pop("id", None)
         return self._respond(verb, {**body, "actor": actor})
