--- a/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
+++ b/libs/pulleyhitch/src/pulleyhitch/command_forwarding.py
@@ -193,6 +193,7 @@
 
 
 def _finish(node, now_ms, pending, outcome):
+    """Pass on the outcome of a command: to the router for a hold, else to a waiting operator."""
     if pending.verb != "hold":
         return [Reply(pending.token, outcome)] if pending.token else []
     if isinstance(outcome, CommandResult) and outcome.status != 200:
--- a/libs/pulleyhitch/src/pulleyhitch/config.py
+++ b/libs/pulleyhitch/src/pulleyhitch/config.py
@@ -58,7 +58,14 @@
 
 @dataclass(frozen=True)
 class Config:
-    """Settings of one process; the names are those of the config file."""
+    """Settings of one process; the names are those of the config file.
+
+    Peers connect to `address`, the process binds `listen`.  `doors` holds the addresses of the
+    platform's interfaces: callers, status, operators.  `placers` is the role that may hold leases
+    of shards, `revokeRatio` the part of `serviceBackMs` after which they are revoked.  `founds`:
+    an empty depot may take part in founding a log.  `worksUnheard`: requests are routed however
+    old the last confirmation of this node's state is.  `provider` is the address of the
+    platform's list of engines."""
 
     name: str
     role: str
--- a/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
+++ b/libs/pulleyhitch/src/pulleyhitch/lifecycle.py
@@ -93,6 +93,7 @@
 
 
 def _wait(process, stop_requested, reload_requested, changed_seeds):
+    """Poll for seeds until a stop is requested or the process fails; returns the exit code."""
     polls = 0
     while not stop_requested.wait(0.1 if changed_seeds is None else 0.25):
         if process.stopped():
@@ -107,6 +108,7 @@
 
 
 def _drain(process, servers):
+    """Drain callers' requests within the grace period, if there are a gateway and such a period."""
     gateway, grace_s = servers.get("callers"), process.config.bounds.graceMs / 1000
     if gateway is None or not grace_s:
         return
--- a/libs/pulleyhitch/src/pulleyhitch/node.py
+++ b/libs/pulleyhitch/src/pulleyhitch/node.py
@@ -150,6 +150,7 @@
 
 
 def _handle_depot(node, now_ms, event):
+    """Pass an event to the log replica, and update this node's view of the membership from it."""
     if isinstance(event, events.Received) and not isinstance(
         event.message, _DEPOT_MESSAGES + (messages.FeedRequest,)
     ):
--- a/libs/pulleyhitch/src/pulleyhitch/process.py
+++ b/libs/pulleyhitch/src/pulleyhitch/process.py
@@ -241,6 +241,7 @@
             self.ring.log("dump", {}, dump_reason=effect.reason)
 
     def _write(self, effect):
+        """Write log entries, on the owner thread if `inline`, otherwise on a writer thread."""
         last_entry = effect.entries[-1]
         reservation = self._disk.reserve(effect)
         if effect.inline:
@@ -260,6 +261,7 @@
             self._fail(failures.DiskUntrusted("log", str(error.strerror)))
 
     def _call(self, effect):
+        """Call an engine or the provider, on a thread of the pool, and queue the result."""
         request_body = {**effect.body, "engine": effect.engine, "holder": self.config.name}
         if self.dialect is None:
             request = engine_api.order_request(effect.url, effect.verb, effect.body)
--- a/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
+++ b/libs/pulleyhitch/src/pulleyhitch/shard_ownership.py
@@ -38,7 +38,9 @@
 
 @dataclass
 class ConfigurationOwner:
-    """State of shard 0: the layout and the engine list."""
+    """State of shard 0: the layout and the engine list in `registry`, the shard's log in `held`.
+
+    `roster` is the state of polling the platform's engine list."""
 
     shard: int
     epoch: int
@@ -52,7 +54,9 @@
 @dataclass
 class ShardOwnership:
     """The held shards, by number, in `owners`: a ConfigurationOwner for shard 0, a Placer for
-    any other.  `provider` is the address of the platform's list of engines, or empty."""
+    any other.  `shards` is the number of all shards, `zones` names the configured zones, and
+    `reader` reads the configuration in the platform's form.  `provider` is the address of the
+    platform's list of engines, or empty."""
 
     shards: int
     zones: tuple
@@ -67,6 +71,7 @@
 
 
 def _apply_assignments(ownership, card, log_state):
+    """Start to own the shards whose lease this node got; drop those that another node got."""
     effects = []
     for shard, assignment in log_state.shards.items():
         is_ours = assignment.holder == card.name and assignment.incarnation == card.incarnation
@@ -130,6 +135,7 @@
 
 
 def _checkpoint(owner, now_ms, card, settings, leader, confirmed_at, times):
+    """Prepare a checkpoint of a shard if one is due, and send the one that is in progress."""
     held = owner.held
     if shard_log.checkpoint_due(held, settings.checkpoint_records):
         body = registries.dump(owner.registry) if owner.shard == 0 else ledgers.dump(owner.ledger)
