--- a/libs/pulleyhitch/src/pulleyhitch/listener.py
+++ b/libs/pulleyhitch/src/pulleyhitch/listener.py
@@ -279,6 +279,6 @@
         ]:
             if caller.data:
                 admission.send_malformed(
-                    caller.sock, request_framing.Malformed(408, "not complete in time")
+                    caller.sock, request_framing.Malformed(408, "not whole in time")
                 )
             self._close(caller)
--- a/libs/pulleyhitch/src/pulleyhitch/request_framing.py
+++ b/libs/pulleyhitch/src/pulleyhitch/request_framing.py
@@ -72,7 +72,7 @@
         values[name.lower()].append(value.strip(b" \t"))
     lengths, codings = values[b"content-length"], values[b"transfer-encoding"]
     if len(lengths) + len(codings) > 1 or len(values[b"host"]) > 1:
-        return Malformed(400, "repeated header field")
+        return Malformed(400, "a field that stands twice")
     if codings:
         return None if codings[0].lower() == b"chunked" else Malformed(400, "transfer-encoding")
     if lengths and not _LENGTH.fullmatch(lengths[0]):
