--- a/tests/test_interface_names.py
+++ b/tests/test_interface_names.py
@@ -21,7 +21,7 @@
 
 
 def names_of(tree):
-    """String literals, attributes and keyword arguments; comments and docstrings don't count."""
+    """String literals, assigned names and classes; comments and docstrings don't count."""
     docstrings = {id(node.value) for node in ast.walk(tree) if is_docstring(node)}
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and id(node) not in docstrings:
@@ -29,6 +29,8 @@
                 yield from WORD.findall(node.value)
             if isinstance(node.value, bytes):
                 yield from WORD.findall(node.value.decode("latin-1"))
+        if isinstance(node, ast.ClassDef):
+            yield node.name
         if isinstance(node, ast.AnnAssign | ast.Assign):
             targets = node.targets if isinstance(node, ast.Assign) else [node.target]
             yield from (target.id for target in targets if isinstance(target, ast.Name))
